--- a/internal/serve/btentry/stream.go
+++ b/internal/serve/btentry/stream.go
@@ -212,7 +212,7 @@
 	if g == s.next {
 		s.promote()
 	}
-	if i.event.Numbered {
+	if i.event.HasID {
 		if s.headSent && i.event.ID <= s.last {
 			return
 		}
--- a/internal/serve/btstream/reader.go
+++ b/internal/serve/btstream/reader.go
@@ -21,9 +21,9 @@
 
 // Event is one whole event.
 type Event struct {
-	// ID is the event's id, Numbered whether it has one that is a number.
-	ID       uint64
-	Numbered bool
+	// ID is the event's id. HasID reports whether the event has a numeric one.
+	ID    uint64
+	HasID bool
 	// Raw are the event's bytes with the closing empty line.
 	Raw []byte
 }
@@ -79,5 +79,5 @@
 		return
 	}
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 64)
-	e.ID, e.Numbered = n, err == nil
+	e.ID, e.HasID = n, err == nil
 }
