--- a/internal/fleet/btgossip/node.go
+++ b/internal/fleet/btgossip/node.go
@@ -86,7 +86,7 @@
 	beat    atomic.Uint64
 	started time.Time
 	// known are the daemons whose addresses lie in the store.
-	known atomic.Pointer[[]Beacon]
+	known atomic.Pointer[[]RegisteredDaemon]
 	conn  net.PacketConn
 	// pulling holds the kinds that are being pulled.
 	pulling sync.Map
@@ -98,8 +98,8 @@
 	sequence atomic.Uint64
 }
 
-// Beacon is a daemon whose address lies in the store.
-type Beacon struct {
+// RegisteredDaemon is a daemon whose address lies in the store.
+type RegisteredDaemon struct {
 	Host bramleytack.HostID
 	Addr netip.Addr
 }
@@ -213,14 +213,14 @@
 	return n.leads(watchers)
 }
 
-// Beacon says whether this daemon's address should lie in the store.
-func (n *Node) Beacon() bool { return n.leads(maxBeacons) }
+// ShouldRegister says whether this daemon's address should lie in the store.
+func (n *Node) ShouldRegister() bool { return n.leads(maxBeacons) }
 
-// Meet takes the daemons whose addresses lie in the store and tells them of this
+// Join takes the daemons whose addresses lie in the store and tells them of this
 // one. When all daemons start at once, seeds may be the last, and these are known
 // to all.
-func (n *Node) Meet(all []Beacon) {
-	slices.SortFunc(all, func(a, b Beacon) int { return cmp.Compare(rank(a.Host), rank(b.Host)) })
+func (n *Node) Join(all []RegisteredDaemon) {
+	slices.SortFunc(all, func(a, b RegisteredDaemon) int { return cmp.Compare(rank(a.Host), rank(b.Host)) })
 	n.known.Store(&all)
 	data := n.news(n.members.list(n.Timer.Now()))
 	for _, b := range all[:min(len(all), fanout)] {
@@ -230,7 +230,7 @@
 	}
 }
 
-func (n *Node) beacons() []Beacon {
+func (n *Node) beacons() []RegisteredDaemon {
 	if all := n.known.Load(); all != nil {
 		return *all
 	}
@@ -241,7 +241,7 @@
 // after a start.
 func (n *Node) designated() bool {
 	all := n.beacons()
-	return slices.ContainsFunc(all[:min(len(all), watchers)], func(b Beacon) bool { return b.Host == n.Self.Host })
+	return slices.ContainsFunc(all[:min(len(all), watchers)], func(b RegisteredDaemon) bool { return b.Host == n.Self.Host })
 }
 
 // leads says whether this daemon is among the first few of those alive.
--- a/internal/fleet/btgossip/start_test.go
+++ b/internal/fleet/btgossip/start_test.go
@@ -78,14 +78,14 @@
 	play(t, 24, 0, func(c *cell) {
 		c.hub.isolate(addrOf(0), true)
 		c.nodes = c.nodes[1:]
-		var beacons []Beacon
+		var beacons []RegisteredDaemon
 		for _, n := range c.nodes {
-			beacons = append(beacons, Beacon{Host: n.Self.Host, Addr: n.Self.Addr})
+			beacons = append(beacons, RegisteredDaemon{Host: n.Self.Host, Addr: n.Self.Addr})
 		}
-		slices.SortFunc(beacons, func(a, b Beacon) int { return cmp.Compare(rank(a.Host), rank(b.Host)) })
+		slices.SortFunc(beacons, func(a, b RegisteredDaemon) int { return cmp.Compare(rank(a.Host), rank(b.Host)) })
 		stop := c.follow()
 		for _, n := range c.nodes {
-			n.Meet(slices.Clone(beacons[:maxBeacons]))
+			n.Join(slices.Clone(beacons[:maxBeacons]))
 		}
 		// Nobody else reads the store before settle. A few that nobody has told yet
 		// hear it with the next digests.
--- a/internal/node/btnode/registration.go
+++ b/internal/node/btnode/registration.go
@@ -33,7 +33,7 @@
 		return
 	}
 	for n.timer.Sleep(ctx, registerPause) == nil {
-		if n.contact.Down() || !n.gossip.Beacon() && len(n.gossip.Alive()) > 0 {
+		if n.contact.Down() || !n.gossip.ShouldRegister() && len(n.gossip.Alive()) > 0 {
 			continue
 		}
 		if err := r.register(ctx); err != nil {
@@ -53,19 +53,19 @@
 	if err != nil {
 		return 0, false, err
 	}
-	var known []btgossip.Beacon
+	var known []btgossip.RegisteredDaemon
 	for _, o := range objects {
 		var d daemonRecord
 		if err := json.Unmarshal(o.Data, &d); err != nil {
 			n.log.Event(btevent.ConfigUndecoded).Str("daemon", o.Name).Err(err).Send()
 			continue
 		}
-		known = append(known, btgossip.Beacon{Host: bramleytack.HostID(o.Name), Addr: d.Addr})
+		known = append(known, btgossip.RegisteredDaemon{Host: bramleytack.HostID(o.Name), Addr: d.Addr})
 		if o.Name == string(n.settings.Host) {
 			own, done = o.Version, d.Addr == n.settings.Addr
 		}
 	}
-	n.gossip.Meet(known)
+	n.gossip.Join(known)
 	return own, done, nil
 }
 
