--- a/internal/fleet/btgossip/node.go
+++ b/internal/fleet/btgossip/node.go
@@ -164,9 +164,9 @@
 // Count returns the number of daemons alive, this one included.
 func (n *Node) Count() int { return n.members.alive(n.Timer.Now()) + 1 }
 
-// Cut returns the number of daemons alive that the store does not answer, this
+// StoreDownCount returns the number of daemons alive that the store does not answer, this
 // one counted in.
-func (n *Node) Cut() int {
+func (n *Node) StoreDownCount() int {
 	cut := 1
 	for _, p := range n.Alive() {
 		if p.StoreDown {
--- a/internal/fleet/btreplica/table_test.go
+++ b/internal/fleet/btreplica/table_test.go
@@ -209,7 +209,7 @@
 		for _, kind := range []string{bramleytack.KindConfig, bramleytack.KindUpstreams} {
 			go (&Watcher{
 				Feed: f, Table: table, Timer: timer, Log: btevent.New(io.Discard, 0, "h"), Kind: kind,
-				Contact: &contact, Resync: &resync, Cut: func() int { return daemons },
+				Contact: &contact, Resync: &resync, StoreDownCount: func() int { return daemons },
 			}).Run(ctx)
 		}
 		time.Sleep(time.Second)
--- a/internal/fleet/btreplica/watcher.go
+++ b/internal/fleet/btreplica/watcher.go
@@ -43,9 +43,9 @@
 	// Active says whether this daemon should ask the store for a kind now. Nil
 	// means always.
 	Active func(kind string) bool
-	// Cut returns the number of daemons that the store does not answer, this one
+	// StoreDownCount returns the number of daemons that the store does not answer, this one
 	// included. Nil means that there are no others.
-	Cut func() int
+	StoreDownCount func() int
 	// Pause is the time between an answer and the next poll. Changes within it
 	// come in one answer.
 	Pause time.Duration
@@ -154,10 +154,10 @@
 // share returns the pause that spreads the calls of all daemons without the
 // store.
 func (w *Watcher) share() time.Duration {
-	if w.Cut == nil {
+	if w.StoreDownCount == nil {
 		return 0
 	}
-	return time.Duration(w.Cut()) * probeSpacing
+	return time.Duration(w.StoreDownCount()) * probeSpacing
 }
 
 // sleep waits for d or until the context ends.
--- a/internal/node/btnode/node.go
+++ b/internal/node/btnode/node.go
@@ -257,7 +257,7 @@
 	for _, kind := range bramleytack.ReplicatedKinds {
 		w := &btreplica.Watcher{
 			Feed: n.adapter.Feed, Table: n.table, Timer: n.timer, Log: n.log, Kind: kind,
-			Active: n.gossip.Follows, Cut: n.gossip.Cut, Contact: &n.contact, Resync: &n.resync,
+			Active: n.gossip.Follows, StoreDownCount: n.gossip.StoreDownCount, Contact: &n.contact, Resync: &n.resync,
 		}
 		if kind == bramleytack.KindUpstreams {
 			w.Pause = joinUpstreams
