--- a/internal/route/btaccount/health.go
+++ b/internal/route/btaccount/health.go
@@ -40,9 +40,9 @@
 	return good
 }
 
-// Blame counts a failure of an upstream whose attempt ended as abandoned, before it
+// RecordFailure counts a failure of an upstream whose attempt ended as abandoned, before it
 // was known who was at fault.
-func (t *Table) Blame(id bramleytack.UpstreamID) {
+func (t *Table) RecordFailure(id bramleytack.UpstreamID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.judge(id, t.account(id), Failed)
--- a/internal/serve/btentry/call.go
+++ b/internal/serve/btentry/call.go
@@ -69,7 +69,7 @@
 	}
 	if len(failing) == 1 && j.sends > 1 {
 		// It did better at another upstream.
-		j.h.Accounts.Blame(failing[0].ID)
+		j.h.Accounts.RecordFailure(failing[0].ID)
 	}
 	j.finishCall(ctx, last)
 }
