--- a/internal/route/btaccount/table.go
+++ b/internal/route/btaccount/table.go
@@ -177,14 +177,14 @@
 // cold limit allows, drawn at random, and its delay. It returns nil if there is
 // none.
 func (t *Table) Pick(s *bramleytack.Snapshot, candidates []*bramleytack.Upstream, n Need) (*bramleytack.Upstream, time.Duration) {
-	u, d, _ := t.PickWithRoom(s, candidates, n, math.Inf(1))
+	u, d, _ := t.PickWithMemoryLimit(s, candidates, n, math.Inf(1))
 	return u, d
 }
 
-// PickWithRoom is Pick among the candidates whose forecast use of memory, the
+// PickWithMemoryLimit is Pick among the candidates whose forecast use of memory, the
 // request included, is at most limit. It says whether all that the cold limit
 // allows are fuller.
-func (t *Table) PickWithRoom(s *bramleytack.Snapshot, candidates []*bramleytack.Upstream, n Need, limit float64) (*bramleytack.Upstream, time.Duration, bool) {
+func (t *Table) PickWithMemoryLimit(s *bramleytack.Snapshot, candidates []*bramleytack.Upstream, n Need, limit float64) (*bramleytack.Upstream, time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Timer.Now()
--- a/internal/route/btaccount/table_test.go
+++ b/internal/route/btaccount/table_test.go
@@ -183,7 +183,7 @@
 		assert.Equal(t, table.Own()["e00"].Memory, table.Own()["e01"].Memory)
 		grown.Grow(4 * guide.Output)
 		assert.Equal(t, table.Own()["e00"].Memory, guide.Prompt+4*guide.Output+growAhead)
-		_, _, full := table.PickWithRoom(s, s.ByService[service][:1], Need{Prompt: 22000, Output: 100}, 1)
+		_, _, full := table.PickWithMemoryLimit(s, s.ByService[service][:1], Need{Prompt: 22000, Output: 100}, 1)
 		assert.Assert(t, full)
 		grown.End(Served)
 		grown.Grow(8 * guide.Output)
--- a/internal/serve/btentry/room.go
+++ b/internal/serve/btentry/room.go
@@ -36,7 +36,7 @@
 			return j.pick(tried)
 		}
 		j.s = j.h.Table.Snapshot()
-		u, expected, full := j.h.Accounts.PickWithRoom(j.s, j.h.Accounts.Eligible(j.s, j.service, tried), j.need, j.room(waited, limit))
+		u, expected, full := j.h.Accounts.PickWithMemoryLimit(j.s, j.h.Accounts.Eligible(j.s, j.service, tried), j.need, j.room(waited, limit))
 		if u != nil || !full {
 			j.expected = expected
 			return u
