--- a/internal/route/btaccount/account.go
+++ b/internal/route/btaccount/account.go
@@ -162,8 +162,8 @@
 	held int
 }
 
-// Begun notes that the upstream has read the prompt.
-func (l *Lease) Begun() {
+// PrefillDone notes that the upstream has read the prompt.
+func (l *Lease) PrefillDone() {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	if l.begun {
--- a/internal/serve/btentry/stream.go
+++ b/internal/serve/btentry/stream.go
@@ -206,7 +206,7 @@
 	g.eventAt = now
 	g.events++
 	if g.events == 1 {
-		g.lease.Begun()
+		g.lease.PrefillDone()
 		g.firstAt = now
 	}
 	if g == s.next {
