--- a/internal/route/btaccount/account.go
+++ b/internal/route/btaccount/account.go
@@ -73,8 +73,8 @@
 	Prompt    int
 	Output    int
 	MaxOutput int
-	// Made are tokens that were generated before, at another upstream.
-	Made int
+	// Generated are tokens that were generated before, at another upstream.
+	Generated int
 	// Copied is set if the upstream holds the prompt and what was made of it.
 	Copied bool
 }
@@ -84,7 +84,7 @@
 const growAhead = 120
 
 // memory returns the tokens that the request is expected to hold.
-func (n Need) memory() int { return n.held(n.Made) }
+func (n Need) memory() int { return n.held(n.Generated) }
 
 // held returns the tokens that the request is expected to hold once it has made
 // some. Long generations outgrow their forecast, and more of those that run are
--- a/internal/serve/btentry/stream.go
+++ b/internal/serve/btentry/stream.go
@@ -165,7 +165,7 @@
 // need returns what the rest of the stream takes of an engine.
 func (s *relay) need() btaccount.Need {
 	n := s.j.need
-	n.Made = s.made()
+	n.Generated = s.made()
 	return n
 }
 
