--- a/internal/route/btaccount/account.go
+++ b/internal/route/btaccount/account.go
@@ -44,8 +44,8 @@
 const (
 	// Served attempts ended with a response.
 	Served Outcome = iota
-	// Refused attempts were turned away unexecuted.
-	Refused
+	// Rejected attempts were turned away unexecuted.
+	Rejected
 	// Failed attempts ended with an error or a response that cannot be used.
 	Failed
 	// Unreachable attempts got no connection.
--- a/internal/route/btaccount/health.go
+++ b/internal/route/btaccount/health.go
@@ -51,12 +51,12 @@
 // judge takes the outcome of an attempt into the upstream's health.
 func (t *Table) judge(id bramleytack.UpstreamID, a *account, o Outcome) {
 	now := t.Timer.Now()
-	if o == Served || o == Refused {
+	if o == Served || o == Rejected {
 		a.refusals = 0
 	}
 	failed := 0.0
 	switch o {
-	case Abandoned, Refused:
+	case Abandoned, Rejected:
 		return
 	case Misdirected:
 		a.avoidUntil = now.Add(misdirectedFor)
--- a/internal/serve/btentry/attempt.go
+++ b/internal/serve/btentry/attempt.go
@@ -159,7 +159,7 @@
 	case r.misdirected:
 		return btaccount.Misdirected
 	case r.outcome == bramleytack.NotRun:
-		return btaccount.Refused
+		return btaccount.Rejected
 	case r.err != nil, r.status >= http.StatusInternalServerError:
 		return btaccount.Failed
 	}
