--- a/internal/fleet/btgossip/node.go
+++ b/internal/fleet/btgossip/node.go
@@ -382,7 +382,7 @@
 
 func (n *Node) ownLoads() []*UpstreamLoad {
 	var loads []*UpstreamLoad
-	for id, l := range n.Accounts.Own() {
+	for id, l := range n.Accounts.OwnLoads() {
 		loads = append(loads, &UpstreamLoad{
 			Upstream: string(id), Running: count(l.Running), UnreadTokens: count(l.Unread),
 			MemoryTokens: count(l.Memory), CopyTokens: count(l.Copies), Ejected: l.Ejections > 0,
--- a/internal/node/btnode/node.go
+++ b/internal/node/btnode/node.go
@@ -157,7 +157,7 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "bramleytack_requests_active", Help: "Requests being served."}, func() float64 { return float64(n.handler.Active()) }),
 	)
 	n.dump.Add("peers", func() any { return n.gossip.Alive() })
-	n.dump.Add("loads", func() any { return n.accounts.Own() })
+	n.dump.Add("loads", func() any { return n.accounts.OwnLoads() })
 	n.dump.Add("snapshot", func() any { return n.table.Snapshot() })
 }
 
--- a/internal/node/btnode/notices.go
+++ b/internal/node/btnode/notices.go
@@ -59,7 +59,7 @@
 	if s == nil {
 		return
 	}
-	for id, l := range n.accounts.Own() {
+	for id, l := range n.accounts.OwnLoads() {
 		u := s.Upstreams[id]
 		if u == nil || l.Memory == 0 || u.State == bramleytack.UpstreamLeaving {
 			continue
--- a/internal/route/btaccount/table.go
+++ b/internal/route/btaccount/table.go
@@ -109,8 +109,8 @@
 	a.reported, a.reportedAt = running+waiting, t.Timer.Now()
 }
 
-// Own returns the loads of this daemon's requests.
-func (t *Table) Own() map[bramleytack.UpstreamID]Load {
+// OwnLoads returns the loads of this daemon's requests.
+func (t *Table) OwnLoads() map[bramleytack.UpstreamID]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	own := map[bramleytack.UpstreamID]Load{}
--- a/internal/route/btaccount/table_test.go
+++ b/internal/route/btaccount/table_test.go
@@ -90,9 +90,9 @@
 		count := map[bramleytack.UpstreamID]int{}
 		for range 24 {
 			count[pick(t, a, s, guide).ID]++
-			b.SetPeer("a", a.Own())
+			b.SetPeer("a", a.OwnLoads())
 			count[pick(t, b, s, guide).ID]++
-			a.SetPeer("b", b.Own())
+			a.SetPeer("b", b.OwnLoads())
 		}
 		for _, u := range s.ByService[service] {
 			assert.Assert(t, count[u.ID] >= 3 && count[u.ID] <= 5, "%s has %d of 48", u.ID, count[u.ID])
@@ -180,14 +180,14 @@
 		table.Begin("e01", guide)
 		grown.PrefillDone()
 		grown.Grow(100)
-		assert.Equal(t, table.Own()["e00"].Memory, table.Own()["e01"].Memory)
+		assert.Equal(t, table.OwnLoads()["e00"].Memory, table.OwnLoads()["e01"].Memory)
 		grown.Grow(4 * guide.Output)
-		assert.Equal(t, table.Own()["e00"].Memory, guide.Prompt+4*guide.Output+growAhead)
+		assert.Equal(t, table.OwnLoads()["e00"].Memory, guide.Prompt+4*guide.Output+growAhead)
 		_, _, full := table.PickWithMemoryLimit(s, s.ByService[service][:1], Need{Prompt: 22000, Output: 100}, 1)
 		assert.Assert(t, full)
 		grown.End(Served)
 		grown.Grow(8 * guide.Output)
-		assert.Equal(t, table.Own()["e00"].Memory, 0)
+		assert.Equal(t, table.OwnLoads()["e00"].Memory, 0)
 	})
 }
 
@@ -261,7 +261,7 @@
 		}
 		assert.Assert(t, told > 0, "an ejection is not told")
 		assert.Assert(t, strings.Contains(lines.String(), `"upstream":"e00"`), "an ejection is not logged")
-		assert.Equal(t, sick.Own()["e00"].Ejections, 1)
+		assert.Equal(t, sick.OwnLoads()["e00"].Ejections, 1)
 		table := newTable(timer)
 		count := func() int { return len(table.Eligible(s, service, nil)) }
 		hosts := []bramleytack.HostID{"h1", "h2", "h3"}
@@ -270,18 +270,18 @@
 				table.SetPeer(h, loads)
 			}
 		}
-		table.SetPeer("h1", sick.Own())
+		table.SetPeer("h1", sick.OwnLoads())
 		assert.Equal(t, count(), 3, "one daemon's word counts")
-		hear(sick.Own())
+		hear(sick.OwnLoads())
 		assert.Equal(t, count(), 2)
 		more := map[bramleytack.UpstreamID]Load{"e00": {Ejections: 1}, "e01": {Ejections: 1}}
 		hear(more)
 		assert.Equal(t, count(), 3, "less than half of the service is left")
 		time.Sleep(ejectMost)
-		hear(sick.Own())
+		hear(sick.OwnLoads())
 		assert.Equal(t, count(), 3, "an ejection outlives its end")
 		sick.Begin("e00", Need{}).End(Failed)
-		assert.Equal(t, sick.Own()["e00"].Ejections, 0, "one failure after the end counts")
+		assert.Equal(t, sick.OwnLoads()["e00"].Ejections, 0, "one failure after the end counts")
 	})
 }
 
@@ -371,7 +371,7 @@
 		b.End(Abandoned)
 		c.End()
 		c.End()
-		assert.Equal(t, len(table.Own()), 0)
+		assert.Equal(t, len(table.OwnLoads()), 0)
 	})
 }
 
--- a/internal/serve/btentry/call_test.go
+++ b/internal/serve/btentry/call_test.go
@@ -61,7 +61,7 @@
 					a := h.request(http.MethodPost, "/order/a", nil, c.patience)
 					assert.Check(t, a.err != nil)
 					time.Sleep(100 * time.Millisecond)
-					ejected = ejected || h.accounts.Own()["s1"].Ejections > 0
+					ejected = ejected || h.accounts.OwnLoads()["s1"].Ejections > 0
 				}
 				assert.Check(t, ejected == c.ejected, "ejected: %v", ejected)
 			})
@@ -83,7 +83,7 @@
 				w.Set(fault)
 			}
 			_ = h.request(http.MethodGet, "/check/a", nil, callPatience)
-			assert.Check(t, len(h.accounts.Own()) == 0, "after %d requests: %v", n, h.accounts.Own())
+			assert.Check(t, len(h.accounts.OwnLoads()) == 0, "after %d requests: %v", n, h.accounts.OwnLoads())
 			time.Sleep(300 * time.Millisecond)
 		}
 	})
@@ -98,7 +98,7 @@
 		ejected := false
 		for range 40 {
 			_ = h.request(http.MethodGet, "/check/a", nil, callPatience)
-			own := h.accounts.Own()
+			own := h.accounts.OwnLoads()
 			ejected = ejected || own["s1"].Ejections > 0
 			assert.Check(t, own["s2"].Ejections == 0)
 			time.Sleep(300 * time.Millisecond)
