--- a/internal/upstream/btconn/conn.go
+++ b/internal/upstream/btconn/conn.go
@@ -36,9 +36,9 @@
 	ErrMalformed = errors.New("btconn: response is malformed")
 )
 
-// UnsentLimit returns a dialer's control function that closes a connection
+// UserTimeoutControl returns a dialer's control function that closes a connection
 // whose bytes stay unacknowledged for d.
-func UnsentLimit(d time.Duration) func(network, address string, c syscall.RawConn) error {
+func UserTimeoutControl(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var serr error
 		err := c.Control(func(fd uintptr) {
--- a/internal/upstream/btconn/pool.go
+++ b/internal/upstream/btconn/pool.go
@@ -55,7 +55,7 @@
 func (p *Pool) Open(ctx context.Context, addr netip.AddrPort) (*Conn, error) {
 	dial := p.Dial
 	if dial == nil {
-		d := &net.Dialer{Control: UnsentLimit(unsentLimit), KeepAlive: time.Second}
+		d := &net.Dialer{Control: UserTimeoutControl(unsentLimit), KeepAlive: time.Second}
 		dial = d.DialContext
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
