--- a/btplace/dump.go
+++ b/btplace/dump.go
@@ -28,7 +28,7 @@
 	Models     []bramleytack.LoadedModel `json:"models,omitempty"`
 	Missed     int                       `json:"missed"`
 	FiguresAt  time.Time                 `json:"figuresAt"`
-	LastOrder  *bramleytack.Order        `json:"lastOrder,omitempty"`
+	LastOrder  *bramleytack.Command      `json:"lastOrder,omitempty"`
 	LastError  string                    `json:"lastError,omitempty"`
 	RepeatFrom time.Time                 `json:"repeatFrom,omitzero"`
 }
--- a/btplace/engine.go
+++ b/btplace/engine.go
@@ -31,7 +31,7 @@
 // attempt is the last order to an engine. The next order waits until notBefore
 // if it is the same one, and until the engine was read after the attempt.
 type attempt struct {
-	order     bramleytack.Order
+	order     bramleytack.Command
 	at        time.Time
 	notBefore time.Time
 	err       error
--- a/btplace/fleet_test.go
+++ b/btplace/fleet_test.go
@@ -22,7 +22,7 @@
 // effect is an order that reached an engine.
 type effect struct {
 	at       time.Time
-	order    bramleytack.Order
+	order    bramleytack.Command
 	accepted bool
 	// inFlight is the number of generations on the engine.
 	inFlight int
@@ -149,7 +149,7 @@
 	defer f.mu.Unlock()
 	for id, es := range f.effects {
 		for _, e := range es {
-			if e.order.Kind == bramleytack.OrderLoad {
+			if e.order.Kind == bramleytack.CommandLoad {
 				list, ids = append(list, e), append(ids, id)
 			}
 		}
@@ -243,9 +243,9 @@
 	return r, err
 }
 
-// Order writes an order unless the deadline has passed. From then on the order
+// Command writes an order unless the deadline has passed. From then on the order
 // takes effect without regard to the caller.
-func (c *conn) Order(ctx context.Context, o bramleytack.Order) error {
+func (c *conn) Command(ctx context.Context, o bramleytack.Command) error {
 	f := c.link.fleet
 	f.mu.Lock()
 	latency, delay, lost := f.latency, f.delay(), f.lose > 0
--- a/btplace/plan_test.go
+++ b/btplace/plan_test.go
@@ -49,14 +49,14 @@
 	return changed
 }
 
-func carryOut(r *bramleytack.LoadReport, o bramleytack.Order) {
+func carryOut(r *bramleytack.LoadReport, o bramleytack.Command) {
 	m := bramleytack.LoadedModel{Model: o.Model, Version: o.Version, Adapter: o.Adapter}
 	switch o.Kind {
-	case bramleytack.OrderLoad:
+	case bramleytack.CommandLoad:
 		r.Models = append(r.Models, m)
-	case bramleytack.OrderUnload:
+	case bramleytack.CommandUnload:
 		r.Models = slices.DeleteFunc(r.Models, func(h bramleytack.LoadedModel) bool { return h == m })
-	case bramleytack.OrderRole:
+	case bramleytack.CommandRole:
 		r.Role = o.Role
 	}
 }
--- a/btplace/term.go
+++ b/btplace/term.go
@@ -237,7 +237,7 @@
 // pending is an order that is due.
 type pending struct {
 	engine *engine
-	order  bramleytack.Order
+	order  bramleytack.Command
 	// rank puts returning domains first, then larger commitments.
 	returning bool
 	committed float64
@@ -250,9 +250,9 @@
 		return
 	}
 	var list []*engine
-	orders := map[*engine]bramleytack.Order{}
+	orders := map[*engine]bramleytack.Command{}
 	for _, p := range due {
-		if p.order.Kind == bramleytack.OrderLoad && !t.allowLoad() {
+		if p.order.Kind == bramleytack.CommandLoad && !t.allowLoad() {
 			continue
 		}
 		list = append(list, p.engine)
@@ -306,7 +306,7 @@
 
 // ready says whether the report is from after the last order, and whether the order may
 // be repeated if it is the same.
-func (e *engine) ready(now time.Time, o bramleytack.Order) bool {
+func (e *engine) ready(now time.Time, o bramleytack.Command) bool {
 	if e.last.at.IsZero() {
 		return true
 	}
@@ -320,7 +320,7 @@
 
 // send sends one order. The lease is checked after all other preparations, and
 // the deadline counts from before the check.
-func (t *term) send(ctx context.Context, e *engine, o bramleytack.Order) {
+func (t *term) send(ctx context.Context, e *engine, o bramleytack.Command) {
 	x, err := t.Upstreams.Engine(e.record)
 	if err != nil {
 		t.sent(e, o, t.Timer.Now(), bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "no engine").WithCause(err))
@@ -332,16 +332,16 @@
 	if !t.holds(t.Times.lease()) {
 		return
 	}
-	t.sent(e, o, start, x.Order(ctx, o))
+	t.sent(e, o, start, x.Command(ctx, o))
 }
 
 // sent records the end of an order.
-func (t *term) sent(e *engine, o bramleytack.Order, start time.Time, err error) {
+func (t *term) sent(e *engine, o bramleytack.Command, start time.Time, err error) {
 	ev := Event{Kind: Sent, Upstream: e.record.ID, Order: o, Err: err}
 	now := t.Timer.Now()
 	a := attempt{order: o, at: now, err: err}
 	switch {
-	case err == nil && o.Kind == bramleytack.OrderLoad:
+	case err == nil && o.Kind == bramleytack.CommandLoad:
 		a.notBefore = now.Add(t.Times.LoadTimeout)
 	case err == nil || bramleytack.OutcomeOf(err) != bramleytack.NotRun:
 		a.notBefore = start.Add(t.Times.longest())
--- a/btplace/version_test.go
+++ b/btplace/version_test.go
@@ -133,7 +133,7 @@
 		}
 		for id, es := range x.effects {
 			for _, e := range es {
-				assert.Assert(t, e.order.Kind != bramleytack.OrderUnload || e.inFlight == 0, "%s unloads with %d generations", id, e.inFlight)
+				assert.Assert(t, e.order.Kind != bramleytack.CommandUnload || e.inFlight == 0, "%s unloads with %d generations", id, e.inFlight)
 			}
 		}
 		assert.Equal(t, refused, 0, "requests for a version that the engine does not hold")
--- a/btupstream/engine.go
+++ b/btupstream/engine.go
@@ -86,9 +86,9 @@
 	return fetch[[]bramleytack.CacheEvent](ctx, e.pool, e.addr, "/v1/cache-events?after="+strconv.FormatUint(after, 10))
 }
 
-// Order implements bramleytack.Engine. It returns ErrStaleFence if the engine
+// Command implements bramleytack.Engine. It returns ErrStaleFence if the engine
 // checks fencing numbers and has seen a higher one.
-func (e *Engine) Order(ctx context.Context, o bramleytack.Order) error {
+func (e *Engine) Command(ctx context.Context, o bramleytack.Command) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return err
--- a/engine.go
+++ b/engine.go
@@ -77,24 +77,24 @@
 	Evicted  bool   `json:"evicted,omitempty"`
 }
 
-// OrderKind says what an order asks of an engine.
-type OrderKind string
+// CommandKind says what a command asks of an engine.
+type CommandKind string
 
-// The kinds of orders.
+// The kinds of commands.
 const (
-	OrderLoad   OrderKind = "load"
-	OrderUnload OrderKind = "unload"
-	OrderRole   OrderKind = "role"
+	CommandLoad   CommandKind = "load"
+	CommandUnload CommandKind = "unload"
+	CommandRole   CommandKind = "role"
 )
 
-// Order tells an engine to change what it holds or its role.
-type Order struct {
-	Fence   Fence     `json:"fence"`
-	Kind    OrderKind `json:"kind"`
-	Model   string    `json:"model,omitempty"`
-	Version string    `json:"version,omitempty"`
-	Adapter string    `json:"adapter,omitempty"`
-	Role    string    `json:"role,omitempty"`
+// Command tells an engine to change what it holds or its role.
+type Command struct {
+	Fence   Fence       `json:"fence"`
+	Kind    CommandKind `json:"kind"`
+	Model   string      `json:"model,omitempty"`
+	Version string      `json:"version,omitempty"`
+	Adapter string      `json:"adapter,omitempty"`
+	Role    string      `json:"role,omitempty"`
 }
 
 // Engine is the protocol of a model engine.
@@ -108,7 +108,7 @@
 	Load(ctx context.Context) (LoadReport, error)
 	// CacheEvents returns events after a sequence number.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
-	Order(ctx context.Context, o Order) error
+	Command(ctx context.Context, o Command) error
 }
 
 // ServiceCall is one call of a plain service.
--- a/internal/btengine/core_test.go
+++ b/internal/btengine/core_test.go
@@ -285,7 +285,7 @@
 // Guards against orders that take effect at once, are repeated or pass a
 // fencing check that they must not pass.
 func TestOrders(t *testing.T) {
-	load := bramleytack.Order{Fence: 5, Kind: bramleytack.OrderLoad, Model: "m", Version: "2"}
+	load := bramleytack.Command{Fence: 5, Kind: bramleytack.CommandLoad, Model: "m", Version: "2"}
 	t.Run("a load takes its time", func(t *testing.T) {
 		c := NewCore(testConfig(), start)
 		assert.NilError(t, c.Order(start, load))
@@ -308,7 +308,7 @@
 	t.Run("an unload stops new generations only", func(t *testing.T) {
 		c := NewCore(testConfig(), start)
 		id := submit(t, c, start, request("r", "[[tokens=7]]"))
-		assert.NilError(t, c.Order(start, bramleytack.Order{Kind: bramleytack.OrderUnload, Model: "m", Version: "1"}))
+		assert.NilError(t, c.Order(start, bramleytack.Command{Kind: bramleytack.CommandUnload, Model: "m", Version: "1"}))
 		_, err := c.Submit(start, request("s", ""))
 		assertRefused(t, err, ReasonUnknownModel)
 		p, _ := c.Generation(drain(c, ignore), id)
@@ -319,8 +319,8 @@
 			cfg := testConfig()
 			cfg.ChecksFence = checks
 			c := NewCore(cfg, start)
-			assert.NilError(t, c.Order(start, bramleytack.Order{Fence: 5, Kind: bramleytack.OrderRole, Role: "a"}))
-			err := c.Order(start, bramleytack.Order{Fence: 4, Kind: bramleytack.OrderRole, Role: "b"})
+			assert.NilError(t, c.Order(start, bramleytack.Command{Fence: 5, Kind: bramleytack.CommandRole, Role: "a"}))
+			err := c.Order(start, bramleytack.Command{Fence: 4, Kind: bramleytack.CommandRole, Role: "b"})
 			if checks {
 				assertRefused(t, err, ReasonOldFence)
 				assert.Equal(t, c.Report(start).Role, "a")
--- a/internal/btengine/model.go
+++ b/internal/btengine/model.go
@@ -34,7 +34,7 @@
 }
 
 // Order carries out an order or returns a Refusal. A load takes effect later.
-func (c *Core) Order(now time.Time, o bramleytack.Order) error {
+func (c *Core) Order(now time.Time, o bramleytack.Command) error {
 	c.advance(now)
 	if c.dead {
 		return Refusal{Reason: ReasonDead}
@@ -60,17 +60,17 @@
 	return ReasonNone
 }
 
-func (c *Core) carryOut(now time.Time, o bramleytack.Order, m bramleytack.LoadedModel) Reason {
-	if o.Kind != bramleytack.OrderRole && (m.Model == "" || m.Version == "") {
+func (c *Core) carryOut(now time.Time, o bramleytack.Command, m bramleytack.LoadedModel) Reason {
+	if o.Kind != bramleytack.CommandRole && (m.Model == "" || m.Version == "") {
 		return ReasonInvalid
 	}
 	switch o.Kind {
-	case bramleytack.OrderLoad:
+	case bramleytack.CommandLoad:
 		return c.load(now, m)
-	case bramleytack.OrderUnload:
+	case bramleytack.CommandUnload:
 		c.models = slices.DeleteFunc(c.models, func(h bramleytack.LoadedModel) bool { return h == m })
 		c.loading = slices.DeleteFunc(c.loading, func(l loading) bool { return l.LoadedModel == m })
-	case bramleytack.OrderRole:
+	case bramleytack.CommandRole:
 		c.role = o.Role
 	default:
 		return ReasonInvalid
--- a/internal/btengine/wire.go
+++ b/internal/btengine/wire.go
@@ -55,8 +55,8 @@
 }
 
 // DecodeOrder reads an order.
-func DecodeOrder(r io.Reader) (bramleytack.Order, error) {
-	var o bramleytack.Order
+func DecodeOrder(r io.Reader) (bramleytack.Command, error) {
+	var o bramleytack.Command
 	err := decode(r, &o)
 	return o, err
 }
