--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -80,7 +80,7 @@
 		ConfigRevision: func() bramleytack.Revision { return d.config.Digest().Revision },
 	}
 	c.owners = &btremote.Owners{Self: s.Host, Node: c.node, Cell: c.cell, Table: d.table, Loads: d.loads, Timer: d.timers, Room: d.room}
-	d.table.Permits = c.owners
+	d.table.Ownership = c.owners
 	c.claims = &btremote.Claims{Self: s.Host, Node: c.node, Cell: c.cell}
 	for n := range claimShards {
 		c.claims.Shards = append(c.claims.Shards, &btclaim.Shard{Store: d.store, Timer: d.timers, Cell: s.Cell, Number: n, Interval: s.ClaimInterval})
--- a/btowner/table.go
+++ b/btowner/table.go
@@ -10,16 +10,18 @@
 	"bramleytack/btramp"
 )
 
-// Permit is the right to grant reservations of an upstream.
-type Permit struct {
-	View uint64
-	Mode btramp.Mode
+// Ownership is the right to grant reservations of one upstream, under one
+// view.
+type Ownership struct {
+	ViewNumber uint64
+	Mode       btramp.Mode
 }
 
-// Permits says whether this daemon may grant reservations. It is asked for
-// each reservation, so that a daemon which was paused finds out at once.
-type Permits interface {
-	Permit(now time.Time, id bramleytack.UpstreamID) (Permit, bool)
+// OwnershipSource reports whether this daemon may grant reservations. It is
+// asked for each reservation, so that a daemon that was paused notices a lost
+// lease at once.
+type OwnershipSource interface {
+	Ownership(now time.Time, id bramleytack.UpstreamID) (Ownership, bool)
 }
 
 // Table holds the upstreams that a daemon owns. It implements
@@ -27,9 +29,9 @@
 type Table struct {
 	cfg   Config
 	timer bramleytack.Timer
-	// Permits may be nil: then every reservation is permitted. It is set
+	// Ownership may be nil: then every reservation is allowed. It must be set
 	// before the table is used.
-	Permits Permits
+	Ownership OwnershipSource
 
 	// mu guards the map only. Each slot has a mutex of its own.
 	mu    sync.RWMutex
@@ -120,19 +122,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// The time is read under the lock: a wait for the lock must not outlast
-	// the permit.
+	// the ownership.
 	now := t.timer.Now()
-	permit := Permit{}
-	if t.Permits != nil {
-		p, ok := t.Permits.Permit(now, r.Upstream)
+	ownership := Ownership{}
+	if t.Ownership != nil {
+		p, ok := t.Ownership.Ownership(now, r.Upstream)
 		if !ok {
 			return bramleytack.Grant{}, refusal(bramleytack.CodeNoUpstream, "no view lease for the upstream")
 		}
-		permit = p
+		ownership = p
 		s.upstream.SetMode(p.Mode)
 	}
 	g, err := s.upstream.Reserve(now, r)
-	g.ViewNumber = permit.View
+	g.ViewNumber = ownership.ViewNumber
 	return g, err
 }
 
--- a/btowner/table_test.go
+++ b/btowner/table_test.go
@@ -15,10 +15,10 @@
 	"gotest.tools/v3/assert"
 )
 
-type switchPermits struct{ on atomic.Bool }
+type switchableOwnership struct{ on atomic.Bool }
 
-func (p *switchPermits) Permit(time.Time, bramleytack.UpstreamID) (Permit, bool) {
-	return Permit{View: 7, Mode: btramp.Normal}, p.on.Load()
+func (p *switchableOwnership) Ownership(time.Time, bramleytack.UpstreamID) (Ownership, bool) {
+	return Ownership{ViewNumber: 7, Mode: btramp.Normal}, p.on.Load()
 }
 
 // Guards against grants without a view lease, on upstreams that are not owned,
@@ -27,8 +27,8 @@
 	timers := bttimer.New(1)
 	defer timers.Close()
 	table := NewTable(Config{WithoutReports: true}, timers)
-	permits := &switchPermits{}
-	table.Permits = permits
+	ownership := &switchableOwnership{}
+	table.Ownership = ownership
 	table.Own(record(4, 0))
 	ctx := context.Background()
 
@@ -36,7 +36,7 @@
 	r.Upstream = "u"
 	_, err := table.Reserve(ctx, r)
 	assert.Equal(t, bramleytack.AsError(err).Code, bramleytack.CodeNoUpstream)
-	permits.on.Store(true)
+	ownership.on.Store(true)
 	g, err := table.Reserve(ctx, r)
 	assert.NilError(t, err)
 	assert.Equal(t, g.ViewNumber, uint64(7))
--- a/btremote/owners.go
+++ b/btremote/owners.go
@@ -342,18 +342,18 @@
 	return len(o.held)
 }
 
-// Permit implements btowner.Permits by the view.
-func (o *Owners) Permit(_ time.Time, id bramleytack.UpstreamID) (btowner.Permit, bool) {
+// Ownership implements btowner.OwnershipSource from the current view.
+func (o *Owners) Ownership(_ time.Time, id bramleytack.UpstreamID) (btowner.Ownership, bool) {
 	p := o.Cell.MayGrant(id)
 	switch p.Mode {
 	case btview.Full:
-		return btowner.Permit{View: p.ViewNumber, Mode: btramp.Normal}, true
+		return btowner.Ownership{ViewNumber: p.ViewNumber, Mode: btramp.Normal}, true
 	case btview.Fallback:
-		return btowner.Permit{View: p.ViewNumber, Mode: btramp.Fallback}, true
+		return btowner.Ownership{ViewNumber: p.ViewNumber, Mode: btramp.Fallback}, true
 	case btview.Reserved:
-		return btowner.Permit{View: p.ViewNumber, Mode: btramp.ReserveHalf}, true
+		return btowner.Ownership{ViewNumber: p.ViewNumber, Mode: btramp.ReserveHalf}, true
 	default:
-		return btowner.Permit{}, false
+		return btowner.Ownership{}, false
 	}
 }
 
--- a/btremote/owners_test.go
+++ b/btremote/owners_test.go
@@ -278,12 +278,12 @@
 	})
 }
 
-// stale is an owner's permit of an earlier view.
+// stale reports ownership under the view before the current one.
 type stale struct{ *Owners }
 
-func (s stale) Permit(now time.Time, id bramleytack.UpstreamID) (btowner.Permit, bool) {
-	p, ok := s.Owners.Permit(now, id)
-	p.View--
+func (s stale) Ownership(now time.Time, id bramleytack.UpstreamID) (btowner.Ownership, bool) {
+	p, ok := s.Owners.Ownership(now, id)
+	p.ViewNumber--
 	return p, ok
 }
 
@@ -294,7 +294,7 @@
 		owner := e.ownerOf()
 		o := e.members[owner]
 		o.table.Report("u", e.engine.load("i"))
-		o.table.Permits = stale{o.owners}
+		o.table.Ownership = stale{o.owners}
 		for _, m := range e.members {
 			_, err := m.owners.Reserve(e.t.Context(), reservation(string(m.host), m.host))
 			assert.ErrorContains(e.t, err, "earlier view", "entry %s", m.host)
--- a/btremote/sim_test.go
+++ b/btremote/sim_test.go
@@ -177,7 +177,7 @@
 	loads := &btroute.Loads{}
 	m.table = btowner.NewTable(btowner.Config{}, s.timers)
 	m.owners = &Owners{Self: m.host, Node: m.node, Cell: m.cell, Table: m.table, Loads: loads, Timer: s.timers}
-	m.table.Permits = m.owners
+	m.table.Ownership = m.owners
 	m.claims = &Claims{Self: m.host, Node: m.node, Cell: m.cell, Shards: []*btclaim.Shard{{Store: m.store, Timer: s.timers, Cell: "c"}}}
 	m.spread = &Spread{Self: m.host, Node: m.node, Cell: m.cell, Config: m.config, Timer: s.timers}
 	m.cell.OnConfigRevision = m.spread.Saw
