--- a/btowner/held.go
+++ b/btowner/held.go
@@ -8,8 +8,9 @@
 	"bramleytack/btramp"
 )
 
-// Held is a reservation that an entry holds, as it tells a new owner.
-type Held struct {
+// HeldReservation is a reservation as the entry daemon that holds it reports it
+// to a new owner of the upstream.
+type HeldReservation struct {
 	bramleytack.Reservation
 	Instance bramleytack.InstanceID
 	// Age is the time since the entry asked for the grant.
--- a/btowner/table.go
+++ b/btowner/table.go
@@ -152,7 +152,7 @@
 
 // Adopt counts reservations that an entry holds. It says whether the table
 // has the upstream.
-func (t *Table) Adopt(id bramleytack.UpstreamID, list []Held) bool {
+func (t *Table) Adopt(id bramleytack.UpstreamID, list []HeldReservation) bool {
 	return t.with(id, func(u *Upstream) { u.Adopt(t.timer.Now(), list) })
 }
 
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -304,7 +304,7 @@
 
 // Adopt counts reservations that an entry got from the owner before. They are
 // taken as they are, even above the limits, since they may already run.
-func (u *Upstream) Adopt(now time.Time, list []Held) {
+func (u *Upstream) Adopt(now time.Time, list []HeldReservation) {
 	for _, v := range list {
 		if _, ok := u.ended[v.Grant]; ok {
 			continue
--- a/btowner/upstream_test.go
+++ b/btowner/upstream_test.go
@@ -166,9 +166,9 @@
 		c.dispatch()
 	}
 	c.owner = NewUpstream(Config{}, c.now, record(c.limit, 0))
-	var list []Held
+	var list []HeldReservation
 	for _, r := range c.live {
-		list = append(list, Held{Reservation: r, Age: c.now.Sub(c.asked[r.Grant])})
+		list = append(list, HeldReservation{Reservation: r, Age: c.now.Sub(c.asked[r.Grant])})
 	}
 	c.owner.Adopt(c.now, list)
 	for e := range c.dead {
@@ -314,7 +314,7 @@
 	t.Run("an adopted reservation is counted once, and not after its release", func(t *testing.T) {
 		u := newUpstream(4, 0)
 		u.Report(start, bramleytack.LoadReport{At: start, Running: 1, Generations: []bramleytack.GenerationState{{Request: "1"}}})
-		list := []Held{{Reservation: reservation("1", bramleytack.Standard), Age: time.Second}}
+		list := []HeldReservation{{Reservation: reservation("1", bramleytack.Standard), Age: time.Second}}
 		u.Adopt(start, list)
 		assert.Equal(t, u.Running(), 1)
 		u.Release(start, bramleytack.Release{Grant: "1"})
--- a/btremote/owners.go
+++ b/btremote/owners.go
@@ -325,10 +325,10 @@
 }
 
 func (o *Owners) adopt(list []heldGrant, now time.Time) {
-	byUpstream := map[bramleytack.UpstreamID][]btowner.Held{}
+	byUpstream := map[bramleytack.UpstreamID][]btowner.HeldReservation{}
 	for _, h := range list {
 		id := h.reservation.Upstream
-		byUpstream[id] = append(byUpstream[id], btowner.Held{Reservation: h.reservation, Instance: h.instance, Age: now.Sub(h.asked)})
+		byUpstream[id] = append(byUpstream[id], btowner.HeldReservation{Reservation: h.reservation, Instance: h.instance, Age: now.Sub(h.asked)})
 	}
 	for id, held := range byUpstream {
 		o.Table.Adopt(id, held)
