--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -93,7 +93,7 @@
 func (d *Daemon) upstreamLost(addr netip.AddrPort) {
 	for id, u := range d.config.Snapshot().Upstreams {
 		if u.Addr == addr {
-			d.table.Doubt(id)
+			d.table.MarkPossibleRestart(id)
 		}
 	}
 }
--- a/btowner/table.go
+++ b/btowner/table.go
@@ -156,10 +156,10 @@
 	return t.with(id, func(u *Upstream) { u.Adopt(t.timer.Now(), list) })
 }
 
-// Doubt says that an upstream may have restarted. Until a newer report shows its
-// instance, it gets no more than a cold upstream.
-func (t *Table) Doubt(id bramleytack.UpstreamID) {
-	t.with(id, func(u *Upstream) { u.Doubt(t.timer.Now()) })
+// MarkPossibleRestart holds an upstream that may have restarted at its cold
+// limit until a newer report shows its instance.
+func (t *Table) MarkPossibleRestart(id bramleytack.UpstreamID) {
+	t.with(id, func(u *Upstream) { u.MarkPossibleRestart(t.timer.Now()) })
 }
 
 // Settle says that all that runs on the upstream is known.
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// Doubt says that the upstream may have restarted.
-func (u *Upstream) Doubt(now time.Time) { u.failedAt = now }
+// MarkPossibleRestart records that the upstream may have restarted.
+func (u *Upstream) MarkPossibleRestart(now time.Time) { u.failedAt = now }
 
 // limit returns the concurrency limit. After a failure, which may mean that
 // the upstream restarted, it is the base until a report shows the instance:
@@ -287,7 +287,7 @@
 		u.cfg.Lengths.Add(now, h.key(), v.Tokens)
 	}
 	if v.Failed {
-		u.Doubt(now)
+		u.MarkPossibleRestart(now)
 	}
 	if ran && !u.ramp.Warm() {
 		u.paceOf(now, h, v)
--- a/btowner/upstream_test.go
+++ b/btowner/upstream_test.go
@@ -334,7 +334,7 @@
 		u.record.ColdLimit = 2
 		u.ramp.Configure(btramp.Config{Cold: 2, Warm: 4})
 		assert.Equal(t, u.limit(start), 4)
-		u.Doubt(start)
+		u.MarkPossibleRestart(start)
 		assert.Equal(t, u.limit(start), 2)
 		later := start.Add(time.Second)
 		u.Report(later, bramleytack.LoadReport{At: later})
