--- a/btowner/report.go
+++ b/btowner/report.go
@@ -25,7 +25,7 @@
 	if at.After(u.failedAt) {
 		u.failedAt = time.Time{}
 	}
-	u.settled = u.settled || !at.Before(u.since)
+	u.synced = u.synced || !at.Before(u.since)
 	listed := u.progress(r)
 	if restarted {
 		u.dropOlder(at, listed)
--- a/btowner/table.go
+++ b/btowner/table.go
@@ -162,8 +162,9 @@
 	t.with(id, func(u *Upstream) { u.MarkPossibleRestart(t.timer.Now()) })
 }
 
-// Settle says that all that runs on the upstream is known.
-func (t *Table) Settle(id bramleytack.UpstreamID) { t.with(id, (*Upstream).Settle) }
+// MarkSynced records that the owner knows every request that runs on the
+// upstream.
+func (t *Table) MarkSynced(id bramleytack.UpstreamID) { t.with(id, (*Upstream).MarkSynced) }
 
 // Inherit takes over the level from a digest of the previous owner.
 func (t *Table) Inherit(d bramleytack.UpstreamDigest) {
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -35,22 +35,22 @@
 	promptUntil time.Time
 	warmers     warmers
 	failedAt    time.Time
-	// since is when this owner started. settled is set when it knows all that
-	// runs.
-	since   time.Time
-	settled bool
+	// since is when this daemon became the owner. synced is set once it knows
+	// every request that runs on the upstream.
+	since  time.Time
+	synced bool
 }
 
 // NewUpstream returns the state of an upstream that is cold and owned from now
 // on.
 func NewUpstream(cfg Config, now time.Time, record *bramleytack.Upstream) *Upstream {
 	u := &Upstream{
-		cfg:     cfg.withDefaults(),
-		record:  record,
-		held:    make(map[bramleytack.GrantID]*held),
-		ended:   make(map[bramleytack.GrantID]ended),
-		since:   now,
-		settled: cfg.WithoutReports,
+		cfg:    cfg.withDefaults(),
+		record: record,
+		held:   make(map[bramleytack.GrantID]*held),
+		ended:  make(map[bramleytack.GrantID]ended),
+		since:  now,
+		synced: cfg.WithoutReports,
 	}
 	u.ramp = btramp.New(u.rampConfig())
 	return u
@@ -76,11 +76,12 @@
 // SetMode sets the mode of the warm-up limit.
 func (u *Upstream) SetMode(m btramp.Mode) { u.ramp.SetMode(m) }
 
-// Settle says that all that runs on the upstream is known: every entry that
-// could hold a reservation has told this owner. Otherwise the owner grants
-// nothing until a load report from after its start shows what runs, since an
-// entry that died with the previous owner may have left requests behind.
-func (u *Upstream) Settle() { u.settled = true }
+// MarkSynced records that the owner knows every request that runs on the
+// upstream: each entry daemon that could hold a reservation has reported it.
+// Without this call, the owner grants nothing until a load report made after
+// its start shows what runs, since an entry that died with the previous owner
+// may have left requests running.
+func (u *Upstream) MarkSynced() { u.synced = true }
 
 // Running returns the number of requests that count: reservations and
 // requests that only the load report shows.
@@ -126,7 +127,7 @@
 	switch {
 	case u.out || u.record.State == bramleytack.UpstreamLeaving || u.report.Leaving:
 		return refusal(bramleytack.CodeNoUpstream, "upstream takes no new work")
-	case !u.settled:
+	case !u.synced:
 		return refusal(bramleytack.CodeOverloaded, "owner does not know yet what runs")
 	case u.reported && r.Model != "" && !u.holds(r.Model):
 		return refusal(bramleytack.CodeNoUpstream, "upstream does not hold the model")
--- a/internal/btbench/sim.go
+++ b/internal/btbench/sim.go
@@ -82,7 +82,7 @@
 	for _, e := range s.engines {
 		t := s.table(e.id)
 		t.Own(snap.Upstreams[e.id])
-		t.Settle(e.id)
+		t.MarkSynced(e.id)
 		t.Report(e.id, e.core.Report(s.start))
 		t.Inherit(bramleytack.UpstreamDigest{Upstream: e.id, Instance: e.core.Instance(), Level: 2 * warmLimit, At: s.start})
 	}
