--- a/btowner/config.go
+++ b/btowner/config.go
@@ -46,23 +46,26 @@
 	Lengths *btlength.Estimator
 	// Ramp holds the warm-up settings. The limits come from each record.
 	Ramp btramp.Config
-	// Z is the number of standard deviations above the expected memory that
-	// must fit. The forecast is made anew with each report, so that a peak
-	// which threatens stops admission long before it comes. 2.33, the 99%
-	// quantile of the normal distribution, left 15% of a full upstream unused.
-	Z float64
+	// MemoryZScore is the number of standard deviations above the expected
+	// memory use that must fit. Each report recomputes the forecast, so a peak
+	// stops admission long before it is reached, and a low value is safe. 2.33,
+	// the 99% quantile of the normal distribution, left 15% of a full upstream
+	// unused.
+	MemoryZScore float64
 	// Headroom is the share of concurrency and memory that each priority
 	// leaves to the higher ones while there is interactive work.
 	Headroom [bramleytack.Priorities]float64
 	// MoveAbove is the memory share above which a generation is named to be
 	// moved.
 	MoveAbove float64
-	// PromptSteps is the number of decoding steps between the starts of two
-	// prompts. Prompts that start together share a step, which delays the next
-	// token of all other generations. A negative number sets no distance.
-	PromptSteps float64
-	// AnyLengthCold lets a cold upstream take requests of any length.
-	AnyLengthCold bool
+	// StepsBetweenPrompts is the number of decoding steps between the starts of
+	// two prompts. Prompts that start together share a step, which delays the
+	// next token of all other generations. A negative number turns the spacing
+	// off.
+	StepsBetweenPrompts float64
+	// AnyLengthWhenCold lets a cold upstream take requests of any length.
+	// Otherwise it takes only short ones for a while, since these warm it fast.
+	AnyLengthWhenCold bool
 	// WithoutReports admits before the first load report. Without it, a new
 	// owner first waits to see what already runs.
 	WithoutReports bool
@@ -72,12 +75,12 @@
 	if c.Lengths == nil {
 		c.Lengths = btlength.New(btlength.Config{})
 	}
-	c.Z = cmp.Or(c.Z, 0.75)
+	c.MemoryZScore = cmp.Or(c.MemoryZScore, 0.75)
 	if c.Headroom == [bramleytack.Priorities]float64{} {
 		c.Headroom[bramleytack.Batch] = 0.15
 		c.Headroom[bramleytack.Standard] = 0.05
 	}
-	c.PromptSteps = cmp.Or(c.PromptSteps, 1)
+	c.StepsBetweenPrompts = cmp.Or(c.StepsBetweenPrompts, 1)
 	c.MoveAbove = cmp.Or(c.MoveAbove, 0.97)
 	return c
 }
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -178,8 +178,8 @@
 			WithRetryAfter(max(retryAfter, u.ramp.Wait(now)))
 	}
 	h.mark = mark
-	if step, ok := u.ramp.StepTime(running); ok && u.cfg.PromptSteps > 0 {
-		u.promptUntil = now.Add(time.Duration(u.cfg.PromptSteps * float64(step)))
+	if step, ok := u.ramp.StepTime(running); ok && u.cfg.StepsBetweenPrompts > 0 {
+		u.promptUntil = now.Add(time.Duration(u.cfg.StepsBetweenPrompts * float64(step)))
 	}
 	return nil
 }
@@ -216,7 +216,7 @@
 		return true
 	}
 	h.forecast(u.cfg.Lengths)
-	return u.Running() == 0 || u.sum.peak(&h.use, u.cfg.Z) <= share*float64(capacity)
+	return u.Running() == 0 || u.sum.peak(&h.use, u.cfg.MemoryZScore) <= share*float64(capacity)
 }
 
 // memory returns the size of the upstream's memory, or 0 for a plain service,
@@ -391,7 +391,7 @@
 	if capacity <= 0 {
 		return 0
 	}
-	return u.sum.peak(&moments{}, u.cfg.Z) / float64(capacity)
+	return u.sum.peak(&moments{}, u.cfg.MemoryZScore) / float64(capacity)
 }
 
 func refusal(code bramleytack.Code, message string) *bramleytack.Error {
--- a/btowner/warmers.go
+++ b/btowner/warmers.go
@@ -44,7 +44,7 @@
 // short requests, of which there were some lately. At first it waits for them,
 // since long ones that are waiting would take all places.
 func (u *Upstream) keptForShort(now time.Time, h *held) bool {
-	if u.cfg.AnyLengthCold || u.memory() <= 0 || u.ramp.Warm() || !u.ramp.Slow() {
+	if u.cfg.AnyLengthWhenCold || u.memory() <= 0 || u.ramp.Warm() || !u.ramp.Slow() {
 		return false
 	}
 	expected := u.cfg.Lengths.Expected(h.key(), 0)
--- a/internal/btbench/policy.go
+++ b/internal/btbench/policy.go
@@ -30,12 +30,12 @@
 
 // Earlier returns our earlier versions, oldest first.
 func Earlier() []Policy {
-	v1 := btowner.Config{Ramp: btramp.Config{PaceFactor: -1}, Z: 2.33, AnyLengthCold: true, PromptSteps: -1}
-	v2 := btowner.Config{Z: 2.33, AnyLengthCold: true, PromptSteps: -1, Ramp: btramp.Config{PacedDwell: -1}}
+	v1 := btowner.Config{Ramp: btramp.Config{PaceFactor: -1}, MemoryZScore: 2.33, AnyLengthWhenCold: true, StepsBetweenPrompts: -1}
+	v2 := btowner.Config{MemoryZScore: 2.33, AnyLengthWhenCold: true, StepsBetweenPrompts: -1, Ramp: btramp.Config{PacedDwell: -1}}
 	steady := btramp.Config{PacedDwell: -1}
-	v3 := btowner.Config{AnyLengthCold: true, PromptSteps: -1, Ramp: steady}
-	v4 := btowner.Config{PromptSteps: -1, Ramp: steady}
-	v5 := btowner.Config{PromptSteps: -1}
+	v3 := btowner.Config{AnyLengthWhenCold: true, StepsBetweenPrompts: -1, Ramp: steady}
+	v4 := btowner.Config{StepsBetweenPrompts: -1, Ramp: steady}
+	v5 := btowner.Config{StepsBetweenPrompts: -1}
 	return []Policy{
 		{Name: "ours 1", Owner: v1, AvoidCold: true},
 		{Name: "ours 2", Owner: v2, AvoidCold: true},
