--- a/internal/fleet/btgossip/node.go
+++ b/internal/fleet/btgossip/node.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Nudge sends a digest now.
-func (n *Node) Nudge() {
+// TriggerDigest sends a digest now.
+func (n *Node) TriggerDigest() {
 	select {
 	case n.nudge <- struct{}{}:
 	default:
@@ -176,8 +176,8 @@
 	return cut
 }
 
-// StoreRead says whether some daemon alive reads what upstreams register.
-func (n *Node) StoreRead() bool {
+// HasStoreReader says whether some daemon alive reads what upstreams register.
+func (n *Node) HasStoreReader() bool {
 	if n.Contact.ReadsUpstreams(n.Timer.Now()) {
 		return true
 	}
@@ -201,8 +201,8 @@
 // recent.
 func (n *Node) young(now time.Time) bool { return now.Sub(n.started) < aliveFor }
 
-// Distrust forgets what is believed of other daemons, after a suspension.
-func (n *Node) Distrust() { n.members.distrust(n.Timer.Now()) }
+// ResetLiveness forgets what is believed of other daemons, after a suspension.
+func (n *Node) ResetLiveness() { n.members.distrust(n.Timer.Now()) }
 
 // Follows says whether this daemon should follow a kind in the store. A few
 // daemons do it for all; those that cannot reach the store do not count.
--- a/internal/fleet/btgossip/node_test.go
+++ b/internal/fleet/btgossip/node_test.go
@@ -381,7 +381,7 @@
 		}
 		check := func(want bool) {
 			for i, n := range c.nodes {
-				assert.Equal(t, n.StoreRead(), want, "daemon %d", i)
+				assert.Equal(t, n.HasStoreReader(), want, "daemon %d", i)
 			}
 		}
 		time.Sleep(4 * time.Second)
--- a/internal/fleet/btgossip/receiver.go
+++ b/internal/fleet/btgossip/receiver.go
@@ -133,14 +133,14 @@
 	switch {
 	case b.Full:
 		// Those that pull it tell others in turn, so that no link carries it to all.
-		n.Nudge()
+		n.TriggerDigest()
 		return
 	case !b.FromStore, len(b.Objects) == 0:
 		return
 	}
 	data := n.encode(&Packet{Batch: encodeBatch(b)})
 	if len(data) > maxPacket {
-		n.Nudge()
+		n.TriggerDigest()
 		return
 	}
 	n.broadcast(data)
--- a/internal/node/btnode/node.go
+++ b/internal/node/btnode/node.go
@@ -301,14 +301,14 @@
 // wake drops what was believed before a suspension.
 func (n *Node) wake() {
 	n.pool.DropAll()
-	n.gossip.Distrust()
+	n.gossip.ResetLiveness()
 	n.resync.All(nil)
 }
 
 // drain serves on until callers have learned of the leaving.
 func (n *Node) drain() {
 	n.leaving.Store(true)
-	n.gossip.Nudge()
+	n.gossip.TriggerDigest()
 	n.log.Event(btevent.ProcessDraining).Int("active", n.handler.Active()).Send()
 	started := n.timer.Now()
 	limit := max(n.settings.Bounds.Grace-killMargin, 0)
--- a/internal/node/btnode/notices.go
+++ b/internal/node/btnode/notices.go
@@ -47,7 +47,7 @@
 func (q *notices) due() bool {
 	n := q.node
 	now := n.timer.Now()
-	if !n.gossip.StoreRead() {
+	if !n.gossip.HasStoreReader() {
 		q.unreadAt = now
 	}
 	return !q.unreadAt.IsZero() && now.Sub(q.unreadAt) < noticeEcho
