--- a/internal/fleet/btgossip/node.go
+++ b/internal/fleet/btgossip/node.go
@@ -68,12 +68,12 @@
 
 // Node is one daemon's part in the exchange.
 type Node struct {
-	Self     Self
-	Table    *btreplica.Table
-	Accounts *btaccount.Table
-	Contact  *btreplica.Contact
-	Timer    bramleytack.Timer
-	Log      *btevent.Logger
+	Self        Self
+	Table       *btreplica.Table
+	Accounts    *btaccount.Table
+	StoreStatus *btreplica.StoreStatus
+	Timer       bramleytack.Timer
+	Log         *btevent.Logger
 	// Ready and Leaving are told to the other daemons.
 	Ready   func() bool
 	Leaving func() bool
@@ -178,7 +178,7 @@
 
 // HasStoreReader says whether some daemon alive reads what upstreams register.
 func (n *Node) HasStoreReader() bool {
-	if n.Contact.ReadsUpstreams(n.Timer.Now()) {
+	if n.StoreStatus.ReadsUpstreams(n.Timer.Now()) {
 		return true
 	}
 	return slices.ContainsFunc(n.Alive(), func(p Peer) bool { return p.StoreRead })
@@ -351,8 +351,8 @@
 func (n *Node) self() *Member {
 	p := Peer{
 		Host: n.Self.Host, Addr: n.Self.Addr, FailureDomain: n.Self.FailureDomain, Incarnation: n.Self.Incarnation,
-		Beat: n.beat.Load(), Ready: n.Ready(), Leaving: n.Leaving(), StoreDown: n.Contact.Down(),
-		StoreRead: n.Contact.ReadsUpstreams(n.Timer.Now()),
+		Beat: n.beat.Load(), Ready: n.Ready(), Leaving: n.Leaving(), StoreDown: n.StoreStatus.Down(),
+		StoreRead: n.StoreStatus.ReadsUpstreams(n.Timer.Now()),
 	}
 	return p.encode()
 }
--- a/internal/fleet/btgossip/node_test.go
+++ b/internal/fleet/btgossip/node_test.go
@@ -172,7 +172,7 @@
 			Host: bramleytack.HostID(fmt.Sprintf("h%02d", i)), Addr: addrOf(i), FailureDomain: bramleytack.FailureDomainID(fmt.Sprint("d", domainOf(addrOf(i)))), Port: port,
 			Incarnation: uint64(time.Now().UnixMilli()),
 		},
-		Table: table, Accounts: &btaccount.Table{Timer: c.timer}, Contact: &btreplica.Contact{}, Timer: c.timer, Log: log,
+		Table: table, Accounts: &btaccount.Table{Timer: c.timer}, StoreStatus: &btreplica.StoreStatus{}, Timer: c.timer, Log: log,
 		Ready: func() bool { return true }, Leaving: func() bool { return c.leaving[i] }, Seeds: []netip.Addr{addrOf(0)},
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return btmemnet.Dialer{Network: c.network, From: addrOf(i)}.DialPeer(ctx, netip.MustParseAddrPort(addr))
@@ -372,10 +372,10 @@
 		var f feed
 		ctx, stop := context.WithCancel(context.Background())
 		for _, n := range c.nodes {
-			n.Contact.Lost = n.Announce
+			n.StoreStatus.OnDown = n.Announce
 			w := &btreplica.Watcher{
 				Feed: &f, Table: n.Table, Timer: c.timer, Log: n.Log, Kind: bramleytack.KindUpstreams,
-				Active: n.Follows, Contact: n.Contact, Resync: &btreplica.Resync{},
+				Active: n.Follows, StoreStatus: n.StoreStatus, Resync: &btreplica.Resync{},
 			}
 			go w.Run(ctx)
 		}
@@ -428,7 +428,7 @@
 			log := btevent.New(io.Discard, 0, "h")
 			n := New(&Node{
 				Table: btreplica.NewTable(codec{}, timer, log), Accounts: &btaccount.Table{Timer: timer}, Timer: timer, Log: log,
-				Contact: &btreplica.Contact{}, Ready: func() bool { return true }, Leaving: func() bool { return false },
+				StoreStatus: &btreplica.StoreStatus{}, Ready: func() bool { return true }, Leaving: func() bool { return false },
 			})
 			n.conn = &packetConn{hub: &hub{}}
 			r := &receiver{n: n, last: map[bramleytack.HostID]position{}}
--- a/internal/fleet/btgossip/start_test.go
+++ b/internal/fleet/btgossip/start_test.go
@@ -52,7 +52,7 @@
 		for _, kind := range bramleytack.ReplicatedKinds {
 			w := &btreplica.Watcher{
 				Feed: &f, Table: n.Table, Timer: c.timer, Log: n.Log, Kind: kind,
-				Active: n.Follows, Contact: n.Contact, Resync: &btreplica.Resync{},
+				Active: n.Follows, StoreStatus: n.StoreStatus, Resync: &btreplica.Resync{},
 			}
 			go w.Run(ctx)
 		}
--- a/internal/fleet/btreplica/contact.go
+++ b/internal/fleet/btreplica/contact.go
@@ -12,23 +12,23 @@
 // the margin of its transport.
 const readFresh = watchWait + time.Second
 
-// Contact is what a daemon knows about its path to the store.
-type Contact struct {
+// StoreStatus is what a daemon knows about its path to the store.
+type StoreStatus struct {
 	mu sync.Mutex
 	// lastFailure is the time of the latest call that failed.
 	lastFailure time.Time
 	down        bool
 	// upstreamsAt is the time of the latest answer about upstreams.
 	upstreamsAt time.Time
-	// Lost is called when the store stops answering. It may be nil.
-	Lost func()
+	// OnDown is called when the store stops answering. It may be nil.
+	OnDown func()
 	// prober is the watcher that asks whether the store is back.
 	prober *Watcher
 }
 
 // mayCall says whether a watcher should call the store. While the store is away,
 // one watcher asks for all: each call costs, also one that fails.
-func (c *Contact) mayCall(w *Watcher) bool {
+func (c *StoreStatus) mayCall(w *Watcher) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.down {
@@ -41,7 +41,7 @@
 }
 
 // release lets another watcher ask whether the store is back.
-func (c *Contact) release(w *Watcher) {
+func (c *StoreStatus) release(w *Watcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.prober == w {
@@ -49,7 +49,7 @@
 	}
 }
 
-func (c *Contact) answered(log *btevent.Logger, kind string, now time.Time) {
+func (c *StoreStatus) answered(log *btevent.Logger, kind string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if kind == bramleytack.KindUpstreams {
@@ -63,19 +63,19 @@
 }
 
 // failed notes a failure and says whether it is the first after an answer.
-func (c *Contact) failed(log *btevent.Logger, now time.Time, err error) bool {
+func (c *StoreStatus) failed(log *btevent.Logger, now time.Time, err error) bool {
 	if !c.lose(now) {
 		return false
 	}
 	log.Event(btevent.StoreDown).Err(err).Send()
-	if c.Lost != nil {
-		c.Lost()
+	if c.OnDown != nil {
+		c.OnDown()
 	}
 	return true
 }
 
 // lose says whether the store answered before.
-func (c *Contact) lose(now time.Time) bool {
+func (c *StoreStatus) lose(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastFailure = now
@@ -85,21 +85,21 @@
 }
 
 // ReadsUpstreams says whether the store has answered about upstreams lately.
-func (c *Contact) ReadsUpstreams(now time.Time) bool {
+func (c *StoreStatus) ReadsUpstreams(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.down && !c.upstreamsAt.IsZero() && now.Sub(c.upstreamsAt) < readFresh
 }
 
 // Down says whether the latest call failed.
-func (c *Contact) Down() bool {
+func (c *StoreStatus) Down() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.down
 }
 
 // Disturbed says whether the store is away or failed within the last few seconds.
-func (c *Contact) Disturbed(now time.Time) bool {
+func (c *StoreStatus) Disturbed(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.down || !c.lastFailure.IsZero() && now.Sub(c.lastFailure) < outageEcho
--- a/internal/fleet/btreplica/table_test.go
+++ b/internal/fleet/btreplica/table_test.go
@@ -176,9 +176,9 @@
 		f := &feed{version: 1, gone: map[string]bool{}, hang: map[string]bool{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var resync Resync
-		var contact Contact
+		var contact StoreStatus
 		for _, kind := range []string{bramleytack.KindConfig, bramleytack.KindUpstreams} {
-			go (&Watcher{Feed: f, Table: table, Timer: timer, Log: btevent.New(io.Discard, 0, "h"), Kind: kind, Contact: &contact, Resync: &resync}).Run(ctx)
+			go (&Watcher{Feed: f, Table: table, Timer: timer, Log: btevent.New(io.Discard, 0, "h"), Kind: kind, StoreStatus: &contact, Resync: &resync}).Run(ctx)
 		}
 		time.Sleep(time.Second)
 		f.mu.Lock()
@@ -205,11 +205,11 @@
 		f := &feed{version: 1, gone: map[string]bool{}, hang: map[string]bool{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var resync Resync
-		var contact Contact
+		var contact StoreStatus
 		for _, kind := range []string{bramleytack.KindConfig, bramleytack.KindUpstreams} {
 			go (&Watcher{
 				Feed: f, Table: table, Timer: timer, Log: btevent.New(io.Discard, 0, "h"), Kind: kind,
-				Contact: &contact, Resync: &resync, StoreDownCount: func() int { return daemons },
+				StoreStatus: &contact, Resync: &resync, StoreDownCount: func() int { return daemons },
 			}).Run(ctx)
 		}
 		time.Sleep(time.Second)
@@ -253,9 +253,9 @@
 	inTime(t, func(t *testing.T, table *Table, timer *bttimer.Service) {
 		assert.Assert(t, table.Apply(config(10, 4)))
 		looks := 0
-		var contact Contact
+		var contact StoreStatus
 		w := &Watcher{
-			Table: table, Timer: timer, Kind: bramleytack.KindOutages, Contact: &contact, Resync: &Resync{},
+			Table: table, Timer: timer, Kind: bramleytack.KindOutages, StoreStatus: &contact, Resync: &Resync{},
 			Active: func(string) bool { looks++; return false },
 		}
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/fleet/btreplica/watcher.go
+++ b/internal/fleet/btreplica/watcher.go
@@ -49,8 +49,8 @@
 	// Pause is the time between an answer and the next poll. Changes within it
 	// come in one answer.
 	Pause time.Duration
-	// Contact is told of each answer and each failure of the store.
-	Contact *Contact
+	// StoreStatus is told of each answer and each failure of the store.
+	StoreStatus *StoreStatus
 	// Resync is shared by the watchers of all kinds.
 	Resync *Resync
 
@@ -87,11 +87,11 @@
 	relist := true
 	for ctx.Err() == nil {
 		if !w.follows() {
-			w.Contact.release(w)
+			w.StoreStatus.release(w)
 			w.sleep(ctx, w.inactive())
 			continue
 		}
-		if !w.Contact.mayCall(w) {
+		if !w.StoreStatus.mayCall(w) {
 			w.sleep(ctx, inactivePause)
 			continue
 		}
@@ -102,7 +102,7 @@
 		case err == nil:
 			relist = false
 			pause = firstPause
-			w.Contact.answered(w.Log, w.Kind, w.Timer.Now())
+			w.StoreStatus.answered(w.Log, w.Kind, w.Timer.Now())
 			if w.Pause > 0 {
 				w.sleep(ctx, w.Pause)
 			}
@@ -115,7 +115,7 @@
 			w.Resync.All(w)
 			w.Log.Event(btevent.HistoryGone).Str("kind", w.Kind).Uint64("revision", uint64(w.Table.Upto(w.Kind))).Send()
 		default:
-			if w.Contact.failed(w.Log, w.Timer.Now(), err) {
+			if w.StoreStatus.failed(w.Log, w.Timer.Now(), err) {
 				w.Resync.All(w)
 			}
 			relist = relist || stale
@@ -132,14 +132,14 @@
 		if err != nil {
 			return err
 		}
-		w.Table.Apply(Batch{Kind: w.Kind, Full: true, Upto: upto, Objects: objects, FromStore: true, AfterOutage: w.Contact.Disturbed(w.Timer.Now())})
+		w.Table.Apply(Batch{Kind: w.Kind, Full: true, Upto: upto, Objects: objects, FromStore: true, AfterOutage: w.StoreStatus.Disturbed(w.Timer.Now())})
 		return nil
 	}
 	objects, upto, err := w.Feed.Changes(ctx, w.Kind, base, watchWait)
 	if err != nil {
 		return err
 	}
-	w.Table.Apply(Batch{Kind: w.Kind, Base: base, Upto: upto, Objects: objects, FromStore: true, AfterOutage: w.Contact.Disturbed(w.Timer.Now())})
+	w.Table.Apply(Batch{Kind: w.Kind, Base: base, Upto: upto, Objects: objects, FromStore: true, AfterOutage: w.StoreStatus.Disturbed(w.Timer.Now())})
 	return nil
 }
 
--- a/internal/node/btnode/node.go
+++ b/internal/node/btnode/node.go
@@ -88,7 +88,7 @@
 	logs     diode.Writer
 	dropped  atomic.Int64
 	table    *btreplica.Table
-	contact  btreplica.Contact
+	contact  btreplica.StoreStatus
 	accounts *btaccount.Table
 	gossip   *btgossip.Node
 	pool     *btconn.Pool
@@ -116,10 +116,10 @@
 			Host: s.Host, Addr: s.Addr, FailureDomain: s.FailureDomain,
 			Port: s.Peer.Port(), Incarnation: uint64(time.Now().UnixMilli()),
 		},
-		Table: n.table, Accounts: n.accounts, Contact: &n.contact, Timer: n.timer, Log: n.log,
+		Table: n.table, Accounts: n.accounts, StoreStatus: &n.contact, Timer: n.timer, Log: n.log,
 		Ready: n.Ready, Leaving: n.leaving.Load, Seeds: addrsOf(s.Seeds),
 	})
-	n.contact.Lost = n.gossip.Announce
+	n.contact.OnDown = n.gossip.Announce
 	n.accounts.Daemons = n.gossip.Count
 	n.accounts.Changed = n.gossip.LoadChanged
 	n.handler = &btentry.Handler{
@@ -257,7 +257,7 @@
 	for _, kind := range bramleytack.ReplicatedKinds {
 		w := &btreplica.Watcher{
 			Feed: n.adapter.Feed, Table: n.table, Timer: n.timer, Log: n.log, Kind: kind,
-			Active: n.gossip.Follows, StoreDownCount: n.gossip.StoreDownCount, Contact: &n.contact, Resync: &n.resync,
+			Active: n.gossip.Follows, StoreDownCount: n.gossip.StoreDownCount, StoreStatus: &n.contact, Resync: &n.resync,
 		}
 		if kind == bramleytack.KindUpstreams {
 			w.Pause = joinUpstreams
