--- a/btclaim/filter.go
+++ b/btclaim/filter.go
@@ -33,7 +33,7 @@
 }
 
 // Handle implements bramleytack.Filter.
-func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Call || r.IdempotencyKey == "" {
 		return next.Handle(ctx, r, w)
 	}
@@ -59,8 +59,8 @@
 
 // run dispatches a claimed call. A panic below leaves the claim without
 // outcome, as it should.
-func (f *Filter) run(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler, key ClaimKey, attempt AttemptID) error {
-	rec := &recorder{Reply: w}
+func (f *Filter) run(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler, key ClaimKey, attempt AttemptID) error {
+	rec := &recorder{ResponseWriter: w}
 	err := next.Handle(ctx, r, rec)
 	outcome := bramleytack.OutcomeOf(err)
 	if rec.response != nil {
@@ -78,14 +78,14 @@
 
 // recorder passes an answer on and remembers it.
 type recorder struct {
-	bramleytack.Reply
+	bramleytack.ResponseWriter
 	response *bramleytack.Response
 }
 
-// Respond implements bramleytack.Reply.
+// Respond implements bramleytack.ResponseWriter.
 func (r *recorder) Respond(response *bramleytack.Response) error {
 	r.response = response
-	return r.Reply.Respond(response)
+	return r.ResponseWriter.Respond(response)
 }
 
 func idempotent(s *bramleytack.ServiceRecord, method string) bool {
@@ -103,7 +103,7 @@
 }
 
 // answerRepeat answers a call whose key was claimed before.
-func answerRepeat(d Decision, w bramleytack.Reply) error {
+func answerRepeat(d Decision, w bramleytack.ResponseWriter) error {
 	switch d.Kind {
 	case Replay:
 		response := *d.Response
--- a/btclaim/filter_test.go
+++ b/btclaim/filter_test.go
@@ -21,7 +21,7 @@
 
 // sink receives answers.
 type sink struct {
-	bramleytack.Reply
+	bramleytack.ResponseWriter
 	got *bramleytack.Response
 	err error
 }
@@ -38,7 +38,7 @@
 	hook  func()
 }
 
-func (b *backend) Handle(_ context.Context, _ *bramleytack.Request, w bramleytack.Reply) error {
+func (b *backend) Handle(_ context.Context, _ *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	b.calls++
 	if b.hook != nil {
 		b.hook()
--- a/btdispatch/dispatcher.go
+++ b/btdispatch/dispatcher.go
@@ -27,7 +27,7 @@
 
 // Handle runs the request on its target, or on the upstream of its generation
 // token.
-func (d *Dispatcher) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+func (d *Dispatcher) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	switch r.Kind {
 	case bramleytack.Generate:
 		return d.generate(ctx, r, w)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (d *Dispatcher) generate(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+func (d *Dispatcher) generate(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	engine, err := d.Upstreams.Engine(r.Target.Upstream)
 	if err != nil {
 		return bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "upstream is no engine").WithCause(err)
@@ -84,7 +84,7 @@
 	return relay.Run(ctx, stream, w)
 }
 
-func (d *Dispatcher) resume(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+func (d *Dispatcher) resume(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	ref, engine, err := d.find(ctx, r)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	return relay.Run(ctx, stream, w)
 }
 
-func (d *Dispatcher) cancel(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+func (d *Dispatcher) cancel(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	ref, engine, err := d.find(ctx, r)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 	return w.Close(bramleytack.Completion{FinishReason: "canceled"})
 }
 
-func (d *Dispatcher) call(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+func (d *Dispatcher) call(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	service, err := d.Upstreams.Service(r.Target.Upstream)
 	if err != nil {
 		return bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "upstream is no plain service").WithCause(err)
--- a/btfront/event.go
+++ b/btfront/event.go
@@ -37,7 +37,7 @@
 	return &eventReply{w: w, control: http.NewResponseController(w), req: req, timer: timer, kept: kept}
 }
 
-// Open implements bramleytack.Reply. The header goes out with the first token:
+// Open implements bramleytack.ResponseWriter. The header goes out with the first token:
 // until then another attempt may take the place of this one.
 func (e *eventReply) Open(o bramleytack.Opening) error {
 	e.mu.Lock()
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Token implements bramleytack.Reply.
+// Token implements bramleytack.ResponseWriter.
 func (e *eventReply) Token(t bramleytack.Token) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,7 +67,7 @@
 	return e.send(b)
 }
 
-// Close implements bramleytack.Reply.
+// Close implements bramleytack.ResponseWriter.
 func (e *eventReply) Close(done bramleytack.Completion) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,7 +90,7 @@
 	return e.send(b)
 }
 
-// Respond implements bramleytack.Reply.
+// Respond implements bramleytack.ResponseWriter.
 func (e *eventReply) Respond(*bramleytack.Response) error { return errWrongAnswer }
 
 // fail ends a stream with an error event.
--- a/btfront/front_test.go
+++ b/btfront/front_test.go
@@ -21,9 +21,9 @@
 )
 
 // script is the request path of a test.
-type script func(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error
+type script func(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error
 
-func (s script) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+func (s script) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	return s(ctx, r, w)
 }
 
@@ -32,7 +32,7 @@
 // Guards against bad input that reaches an upstream, gets an untyped error or
 // costs more memory than its limit.
 func TestBadInput(t *testing.T) {
-	never := script(func(context.Context, *bramleytack.Request, bramleytack.Reply) error {
+	never := script(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error {
 		t.Error("bad input reached the request path")
 		return nil
 	})
@@ -91,7 +91,7 @@
 
 // Guards against a stream that a common client of server-sent events can't read.
 func TestStream(t *testing.T) {
-	generate := script(func(_ context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+	generate := script(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 		if err := w.Open(bramleytack.Opening{Model: r.Model, GenerationToken: "tok"}); err != nil {
 			return err
 		}
@@ -142,7 +142,7 @@
 	}{{"without a window", "", true}, {"with a window", "1m", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			begun, gone, state := make(chan struct{}), make(chan struct{}), make(chan error, 1)
-			base := serve(t, script(func(ctx context.Context, _ *bramleytack.Request, w bramleytack.Reply) error {
+			base := serve(t, script(func(ctx context.Context, _ *bramleytack.Request, w bramleytack.ResponseWriter) error {
 				assert.Check(t, w.Open(bramleytack.Opening{}))
 				assert.Check(t, w.Token(bramleytack.Token{}))
 				close(begun)
@@ -174,7 +174,7 @@
 
 // Guards against an answer whose headers break the caller's connection.
 func TestCall(t *testing.T) {
-	base := serve(t, script(func(_ context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+	base := serve(t, script(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 		assert.Check(t, r.Service == "orders" && r.Path == "a/b" && r.Query == "q=1" && r.IdempotencyKey == "k")
 		h := http.Header{"Content-Length": {"999"}, "Connection": {"close"}, "X-Kept": {"1"}}
 		return w.Respond(&bramleytack.Response{Status: 201, Header: h, Body: []byte("ok")})
--- a/btfront/reply.go
+++ b/btfront/reply.go
@@ -49,20 +49,20 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Open implements bramleytack.Reply. A later attempt starts over.
+// Open implements bramleytack.ResponseWriter. A later attempt starts over.
 func (c *chatReply) Open(o bramleytack.Opening) error {
 	c.opening = o
 	c.text.Reset()
 	return nil
 }
 
-// Token implements bramleytack.Reply.
+// Token implements bramleytack.ResponseWriter.
 func (c *chatReply) Token(t bramleytack.Token) error {
 	c.text.WriteString(t.Text)
 	return nil
 }
 
-// Close implements bramleytack.Reply.
+// Close implements bramleytack.ResponseWriter.
 func (c *chatReply) Close(done bramleytack.Completion) error {
 	h := c.w.Header()
 	h.Set("Content-Type", "application/json")
@@ -81,7 +81,7 @@
 	})
 }
 
-// Respond implements bramleytack.Reply.
+// Respond implements bramleytack.ResponseWriter.
 func (c *chatReply) Respond(*bramleytack.Response) error { return errWrongAnswer }
 
 func usage(done bramleytack.Completion) chatUsage {
@@ -104,16 +104,16 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Date", HeaderRequestID,
 }
 
-// Open implements bramleytack.Reply.
+// Open implements bramleytack.ResponseWriter.
 func (c *callReply) Open(bramleytack.Opening) error { return errWrongAnswer }
 
-// Token implements bramleytack.Reply.
+// Token implements bramleytack.ResponseWriter.
 func (c *callReply) Token(bramleytack.Token) error { return errWrongAnswer }
 
-// Close implements bramleytack.Reply.
+// Close implements bramleytack.ResponseWriter.
 func (c *callReply) Close(bramleytack.Completion) error { return errWrongAnswer }
 
-// Respond implements bramleytack.Reply.
+// Respond implements bramleytack.ResponseWriter.
 func (c *callReply) Respond(r *bramleytack.Response) error {
 	h := c.w.Header()
 	for name, values := range r.Header {
@@ -134,17 +134,17 @@
 	w http.ResponseWriter
 }
 
-// Open implements bramleytack.Reply.
+// Open implements bramleytack.ResponseWriter.
 func (c *cancelReply) Open(bramleytack.Opening) error { return errWrongAnswer }
 
-// Token implements bramleytack.Reply.
+// Token implements bramleytack.ResponseWriter.
 func (c *cancelReply) Token(bramleytack.Token) error { return errWrongAnswer }
 
-// Close implements bramleytack.Reply.
+// Close implements bramleytack.ResponseWriter.
 func (c *cancelReply) Close(bramleytack.Completion) error {
 	c.w.WriteHeader(http.StatusNoContent)
 	return nil
 }
 
-// Respond implements bramleytack.Reply.
+// Respond implements bramleytack.ResponseWriter.
 func (c *cancelReply) Respond(*bramleytack.Response) error { return errWrongAnswer }
--- a/btfront/route.go
+++ b/btfront/route.go
@@ -80,7 +80,7 @@
 }
 
 // serve runs a request whose answer is sent at once.
-func (f *Front) serve(ctx context.Context, w http.ResponseWriter, req *bramleytack.Request, reply bramleytack.Reply) {
+func (f *Front) serve(ctx context.Context, w http.ResponseWriter, req *bramleytack.Request, reply bramleytack.ResponseWriter) {
 	if err := f.Path.Handle(ctx, req, reply); err != nil {
 		f.fail(w, req, err)
 	}
--- a/btidentity/filter.go
+++ b/btidentity/filter.go
@@ -42,7 +42,7 @@
 
 // Handle sets the request's workspace, priority and deadline and clears its
 // credential.
-func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if err := f.await(ctx); err != nil {
 		return err
 	}
--- a/btidentity/filter_test.go
+++ b/btidentity/filter_test.go
@@ -54,7 +54,7 @@
 				if c.timeout != 0 {
 					r.Deadline = timers.Now().Add(c.timeout)
 				}
-				next := bramleytack.HandlerFunc(func(ctx context.Context, r *bramleytack.Request, _ bramleytack.Reply) error {
+				next := bramleytack.HandlerFunc(func(ctx context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 					end, _ := ctx.Deadline()
 					assert.Equal(t, end.Sub(r.Received), c.lasts)
 					assert.Equal(t, r.Workspace, ws.Name)
@@ -90,7 +90,7 @@
 		}()
 		r := &bramleytack.Request{Credential: "key", Received: timers.Now()}
 		ran := false
-		next := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.Reply) error {
+		next := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error {
 			ran = true
 			return nil
 		})
--- a/btlimit/filter.go
+++ b/btlimit/filter.go
@@ -16,7 +16,7 @@
 
 // Handle passes a request on within the limits. Resume and Cancel belong to a
 // generation that was counted at its start.
-func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call {
 		return next.Handle(ctx, r, w)
 	}
--- a/btlimit/limiter_test.go
+++ b/btlimit/limiter_test.go
@@ -158,7 +158,7 @@
 		ws := &bramleytack.Workspace{Name: "w", RequestsPerSecond: 2}
 		s := &bramleytack.Snapshot{Workspaces: map[bramleytack.WorkspaceID]*bramleytack.Workspace{"w": ws}}
 		f := &Filter{Limiter: &Limiter{Self: "h"}, Snapshots: fixed{s}, Timer: timers}
-		ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.Reply) error { return nil })
+		ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error { return nil })
 		r := &bramleytack.Request{Workspace: "w"}
 		assert.NilError(t, f.Handle(t.Context(), r, nil, ok))
 		e := bramleytack.AsError(f.Handle(t.Context(), r, nil, ok))
--- a/btmetric/filter.go
+++ b/btmetric/filter.go
@@ -14,10 +14,10 @@
 }
 
 // Handle implements bramleytack.Filter.
-func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	f.Metrics.InFlight.Inc()
 	defer f.Metrics.InFlight.Dec()
-	err := next.Handle(ctx, r, &timedReply{Reply: w, filter: f, last: r.Received})
+	err := next.Handle(ctx, r, &timedReply{ResponseWriter: w, filter: f, last: r.Received})
 	code, outcome := "ok", bramleytack.Ran
 	if err != nil {
 		e := bramleytack.AsError(err)
@@ -29,13 +29,13 @@
 
 // timedReply observes the time between tokens.
 type timedReply struct {
-	bramleytack.Reply
+	bramleytack.ResponseWriter
 	filter *Filter
 	last   time.Time
 	begun  bool
 }
 
-// Token implements bramleytack.Reply.
+// Token implements bramleytack.ResponseWriter.
 func (t *timedReply) Token(tok bramleytack.Token) error {
 	now := t.filter.Timer.Now()
 	gap := now.Sub(t.last).Seconds()
@@ -47,5 +47,5 @@
 		t.filter.Metrics.FirstToken.Observe(gap)
 	}
 	t.filter.Metrics.Tokens.Inc()
-	return t.Reply.Token(tok)
+	return t.ResponseWriter.Token(tok)
 }
--- a/btplace/version_test.go
+++ b/btplace/version_test.go
@@ -55,7 +55,7 @@
 }
 
 // Handle runs a request on its engine to the end.
-func (x *traffic) Handle(_ context.Context, r *bramleytack.Request, _ bramleytack.Reply) error {
+func (x *traffic) Handle(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 	var stream bramleytack.StreamID
 	var err error
 	x.with(r.Target.Upstream.ID, func(now time.Time, c *btengine.Core) {
--- a/btquarantine/detector.go
+++ b/btquarantine/detector.go
@@ -28,7 +28,7 @@
 }
 
 // Handle implements bramleytack.Filter.
-func (d *Detector) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (d *Detector) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	err := next.Handle(ctx, r, w)
 	if err != nil && r.Target.Upstream != nil && broken(bramleytack.AsError(err)) {
 		d.inspect(ctx, r.Target)
--- a/btquarantine/filter.go
+++ b/btquarantine/filter.go
@@ -22,7 +22,7 @@
 }
 
 // Handle implements bramleytack.Filter.
-func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call {
 		return next.Handle(ctx, r, w)
 	}
@@ -61,7 +61,7 @@
 }
 
 // Handle implements bramleytack.Filter.
-func (f *Track) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Track) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call || r.Target.Upstream == nil {
 		return next.Handle(ctx, r, w)
 	}
--- a/btquarantine/table_test.go
+++ b/btquarantine/table_test.go
@@ -106,7 +106,7 @@
 		r := request(contents[i])
 		f.requests++
 		r.ID = bramleytack.RequestID(fmt.Sprint(f.requests))
-		last := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, _ bramleytack.Reply) error {
+		last := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 			own := outcome(contents[i])
 			if !r.Suspect {
 				worst = max(worst, own)
@@ -123,7 +123,7 @@
 			}
 			return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Unknown, "broken")
 		})
-		route := bramleytack.HandlerFunc(func(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+		route := bramleytack.HandlerFunc(func(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 			r.Target.Upstream, r.Target.Grant.Instance = u, shared
 			if r.Suspect {
 				r.Target.Grant.Instance += bramleytack.InstanceID(fmt.Sprint("-alone", i))
@@ -321,7 +321,7 @@
 			}}
 			r := request("poison")
 			r.ID = bramleytack.RequestID(fmt.Sprint("r", i))
-			_ = filter.Handle(t.Context(), r, nil, bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.Reply) error {
+			_ = filter.Handle(t.Context(), r, nil, bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error {
 				granted++
 				return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Unknown, "broken")
 			}))
--- a/btqueue/filter.go
+++ b/btqueue/filter.go
@@ -50,7 +50,7 @@
 
 // Handle passes the request on when it is its turn, until it is not refused
 // for lack of room.
-func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call {
 		return next.Handle(ctx, r, w)
 	}
--- a/btqueue/filter_test.go
+++ b/btqueue/filter_test.go
@@ -28,7 +28,7 @@
 	reserve time.Duration
 }
 
-func (p *places) Handle(_ context.Context, r *bramleytack.Request, _ bramleytack.Reply) error {
+func (p *places) Handle(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 	left := p.free.Add(-1)
 	time.Sleep(p.reserve)
 	if left < 0 {
--- a/btrelay/relay.go
+++ b/btrelay/relay.go
@@ -46,7 +46,7 @@
 // Run reads the stream to its end. A failure before the first token keeps the
 // stream's error, so that another attempt may follow; a later one is
 // CodeIncomplete. An abandoned generation is canceled at the engine.
-func (r *Relay) Run(ctx context.Context, stream bramleytack.Stream, w bramleytack.Reply) error {
+func (r *Relay) Run(ctx context.Context, stream bramleytack.Stream, w bramleytack.ResponseWriter) error {
 	r.stream = stream
 	r.next = r.From
 	err := r.pump(ctx, w)
@@ -61,7 +61,7 @@
 // Delivered returns the number of tokens that the caller was sent.
 func (r *Relay) Delivered() int { return r.next - r.From }
 
-func (r *Relay) pump(ctx context.Context, w bramleytack.Reply) error {
+func (r *Relay) pump(ctx context.Context, w bramleytack.ResponseWriter) error {
 	for {
 		ev, err := r.stream.Next(ctx)
 		if err != nil {
@@ -84,7 +84,7 @@
 var errGap = errors.New("btrelay: tokens are missing")
 
 // pass hands one event to the reply. It reports whether it was the last.
-func (r *Relay) pass(ev bramleytack.StreamEvent, w bramleytack.Reply) (done bool, err error) {
+func (r *Relay) pass(ev bramleytack.StreamEvent, w bramleytack.ResponseWriter) (done bool, err error) {
 	if err := r.open(ev.Stream, w); err != nil {
 		return false, err
 	}
@@ -111,7 +111,7 @@
 }
 
 // open announces the generation and checks that it stays the same.
-func (r *Relay) open(id bramleytack.StreamID, w bramleytack.Reply) error {
+func (r *Relay) open(id bramleytack.StreamID, w bramleytack.ResponseWriter) error {
 	if r.opened {
 		if id != r.id {
 			return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "engine changed from generation %q to %q", r.id, id)
--- a/btrelay/relay_test.go
+++ b/btrelay/relay_test.go
@@ -75,7 +75,7 @@
 
 // caller records what it was sent.
 type caller struct {
-	bramleytack.Reply
+	bramleytack.ResponseWriter
 	opened, closed int
 	got            []int
 }
@@ -174,7 +174,7 @@
 
 func (goneCaller) Token(bramleytack.Token) error { return errCut }
 
-func run(t *testing.T, e *engine, s bramleytack.Stream, w bramleytack.Reply) error {
+func run(t *testing.T, e *engine, s bramleytack.Stream, w bramleytack.ResponseWriter) error {
 	t.Helper()
 	timers := bttimer.New(1)
 	defer timers.Close()
--- a/btremote/owners_test.go
+++ b/btremote/owners_test.go
@@ -61,7 +61,7 @@
 
 // Handle implements bramleytack.Handler: dispatch at an upstream that does not
 // check grants.
-func (e *engine) Handle(ctx context.Context, r *bramleytack.Request, _ bramleytack.Reply) error {
+func (e *engine) Handle(ctx context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 	seed := rand.New(rand.NewPCG(uint64(len(r.ID)), uint64(time.Now().UnixNano())))
 	wait, work := upTo(seed, 1300*time.Millisecond), upTo(seed, 600*time.Millisecond)
 	if seed.IntN(3) > 0 {
--- a/btroute/filter.go
+++ b/btroute/filter.go
@@ -58,7 +58,7 @@
 
 // Handle offers the request to upstreams until one completes it or no further
 // attempt is allowed.
-func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call {
 		return next.Handle(ctx, r, w)
 	}
@@ -70,7 +70,7 @@
 type run struct {
 	*Filter
 	request *bramleytack.Request
-	reply   bramleytack.Reply
+	reply   bramleytack.ResponseWriter
 	next    bramleytack.Handler
 
 	visits visits
--- a/btroute/filter_test.go
+++ b/btroute/filter_test.go
@@ -80,7 +80,10 @@
 	fail := func(o bramleytack.Outcome) error {
 		return bramleytack.NewError(bramleytack.CodeUpstreamFailed, o, "failed")
 	}
-	token := func(w bramleytack.Reply) { _ = w.Open(bramleytack.Opening{}); _ = w.Token(bramleytack.Token{}) }
+	token := func(w bramleytack.ResponseWriter) {
+		_ = w.Open(bramleytack.Opening{})
+		_ = w.Token(bramleytack.Token{})
+	}
 	for _, c := range []struct {
 		name     string
 		request  bramleytack.Request
@@ -103,7 +106,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f, owner := newFilter(t, upstreams("a", "b", "c", "d"))
 				attempts := 0
-				next := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+				next := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 					attempts++
 					assert.Equal(t, r.Attempt, attempts)
 					if c.deliver {
@@ -142,7 +145,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f, owner := newFilter(t, upstreams("a"))
-				next := bramleytack.HandlerFunc(func(_ context.Context, _ *bramleytack.Request, w bramleytack.Reply) error {
+				next := bramleytack.HandlerFunc(func(_ context.Context, _ *bramleytack.Request, w bramleytack.ResponseWriter) error {
 					if test.open {
 						_ = w.Open(bramleytack.Opening{})
 					}
@@ -165,7 +168,7 @@
 			"c": context.DeadlineExceeded,
 		}
 		r := &bramleytack.Request{Kind: bramleytack.Generate, Model: "m"}
-		ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.Reply) error { return nil })
+		ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error { return nil })
 		assert.NilError(t, f.Handle(t.Context(), r, &nullReply{}, ok))
 		assert.Equal(t, r.Target.Upstream.ID, bramleytack.UpstreamID("b"))
 		assert.Equal(t, len(owner.releases), 2, "the reservation without an answer is released too")
@@ -175,7 +178,7 @@
 		assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
 
 		owner.refuse = nil
-		crash := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.Reply) error {
+		crash := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error {
 			return bramleytack.NewError(bramleytack.CodeUpstreamFailed, bramleytack.Unknown, "crashed")
 		})
 		assert.Assert(t, f.Handle(t.Context(), r, &nullReply{}, crash) != nil)
@@ -233,7 +236,7 @@
 		f, owner := newFilter(t, upstreams("a", "b"))
 		r := &bramleytack.Request{ID: "r", Kind: bramleytack.Generate, Model: "m"}
 		var sent []bramleytack.RequestID
-		refuse := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, _ bramleytack.Reply) error {
+		refuse := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 			sent = append(sent, r.AttemptID())
 			return bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "full")
 		})
--- a/btroute/recorder.go
+++ b/btroute/recorder.go
@@ -10,7 +10,7 @@
 // It holds the opening back until the first token, so that an attempt which
 // fails before its first token leaves nothing at the client.
 type recorder struct {
-	reply bramleytack.Reply
+	reply bramleytack.ResponseWriter
 	timer bramleytack.Timer
 	start time.Time
 
--- a/btroute/scored_test.go
+++ b/btroute/scored_test.go
@@ -209,7 +209,7 @@
 		r := &bramleytack.Request{Kind: bramleytack.Generate, Model: "m"}
 		granted := 0
 		f.Granted = func(*bramleytack.Request) { granted++ }
-		ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.Reply) error { return nil })
+		ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error { return nil })
 		assert.NilError(t, f.Handle(t.Context(), r, &nullReply{}, ok))
 		assert.Equal(t, len(owner.offered), 3)
 		assert.Equal(t, granted, 1)
@@ -257,7 +257,7 @@
 	f.Owner = granter{}
 	f.Loads, f.Holders, f.Policy = loads, loads, &Scored{Prefixes: &Prefixes{}}
 	r := &bramleytack.Request{Kind: bramleytack.Generate, Model: "m", Prompt: strings.Repeat("p", 4096)}
-	ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.Reply) error { return nil })
+	ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error { return nil })
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := f.Handle(b.Context(), r, &nullReply{}, ok); err != nil {
--- a/filter.go
+++ b/filter.go
@@ -4,19 +4,21 @@
 
 // Handler handles a request to its end.
 type Handler interface {
-	Handle(ctx context.Context, r *Request, w Reply) error
+	Handle(ctx context.Context, r *Request, w ResponseWriter) error
 }
 
 // HandlerFunc makes a function a Handler.
-type HandlerFunc func(ctx context.Context, r *Request, w Reply) error
+type HandlerFunc func(ctx context.Context, r *Request, w ResponseWriter) error
 
 // Handle calls f.
-func (f HandlerFunc) Handle(ctx context.Context, r *Request, w Reply) error { return f(ctx, r, w) }
+func (f HandlerFunc) Handle(ctx context.Context, r *Request, w ResponseWriter) error {
+	return f(ctx, r, w)
+}
 
 // Filter does one step of a request and passes the request on to next. It may
 // call next more than once, or not at all.
 type Filter interface {
-	Handle(ctx context.Context, r *Request, w Reply, next Handler) error
+	Handle(ctx context.Context, r *Request, w ResponseWriter, next Handler) error
 }
 
 // Chain returns a handler that passes a request through the filters in their
@@ -25,7 +27,7 @@
 	h := last
 	for i := len(filters) - 1; i >= 0; i-- {
 		f, next := filters[i], h
-		h = HandlerFunc(func(ctx context.Context, r *Request, w Reply) error {
+		h = HandlerFunc(func(ctx context.Context, r *Request, w ResponseWriter) error {
 			return f.Handle(ctx, r, w, next)
 		})
 	}
--- a/internal/btbench/engine.go
+++ b/internal/btbench/engine.go
@@ -28,7 +28,7 @@
 // stream is a generation that an entry reads.
 type stream struct {
 	process *process
-	reply   bramleytack.Reply
+	reply   bramleytack.ResponseWriter
 	record  *record
 	id      bramleytack.StreamID
 	// lastAt is the time of the last token. It spans preemptions.
@@ -160,7 +160,7 @@
 
 // submit starts a generation and waits for its end. It runs in the request's
 // process.
-func (e *engine) submit(r *bramleytack.Request, w bramleytack.Reply, rec *record) error {
+func (e *engine) submit(r *bramleytack.Request, w bramleytack.ResponseWriter, rec *record) error {
 	now := e.sim.clock.now
 	id, err := e.core.Submit(now, bramleytack.GenerationRequest{
 		ID: r.AttemptID(), Model: r.Model, Prompt: r.Prompt, MaxTokens: r.MaxTokens,
--- a/internal/btbench/entry.go
+++ b/internal/btbench/entry.go
@@ -82,7 +82,7 @@
 }
 
 // Handle is the dispatch step: it checks the grant and calls the engine.
-func (e *entry) Handle(_ context.Context, r *bramleytack.Request, w bramleytack.Reply) error {
+func (e *entry) Handle(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	e.sim.clock.sleep(e.sim.mix.OneWay)
 	u := r.Target.Upstream
 	if !e.snapshot.Accepts(u.ID) || !e.sim.clock.now.Before(r.Target.Grant.ValidUntil) {
--- a/internal/btforward/path_test.go
+++ b/internal/btforward/path_test.go
@@ -214,7 +214,7 @@
 	timer    bramleytack.Timer
 }
 
-func (f target) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.Reply, next bramleytack.Handler) error {
+func (f target) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	r.Attempt = 1
 	r.Target = bramleytack.Target{Upstream: f.upstream, Grant: bramleytack.Grant{ValidUntil: f.timer.Now().Add(time.Second)}}
 	return next.Handle(ctx, r, w)
--- a/reply.go
+++ b/reply.go
@@ -32,10 +32,10 @@
 	Body   []byte
 }
 
-// Reply receives the answer to a request. A generation is answered by one
+// ResponseWriter receives the answer to a request. A generation is answered by one
 // Open, its tokens in order and one Close; a call by one Respond. An error
 // means that the caller can no longer be reached.
-type Reply interface {
+type ResponseWriter interface {
 	Open(Opening) error
 	Token(Token) error
 	Close(Completion) error
