--- a/btretry/budget.go
+++ b/btretry/budget.go
@@ -26,9 +26,9 @@
 	Minimum float64
 	// Burst bounds the retries that a key can save up.
 	Burst float64
-	// Sharers returns the number of processes that share Minimum and Burst. Nil
-	// means one.
-	Sharers func() int
+	// Processes returns the number of processes that share Minimum and Burst.
+	// Nil means one.
+	Processes func() int
 	// Keys bounds the buckets. The one used least recently is forgotten.
 	Keys int
 
@@ -75,7 +75,7 @@
 	b.order.MoveToBack(e)
 	k := e.Value.(*bucket)
 	if d := now.Sub(k.at); d > 0 {
-		k.tokens = min(k.tokens+d.Seconds()*or(b.Minimum, DefaultMinimum)/b.sharers(), b.burst())
+		k.tokens = min(k.tokens+d.Seconds()*or(b.Minimum, DefaultMinimum)/b.processes(), b.burst())
 		k.at = now
 	}
 	return k
@@ -94,11 +94,11 @@
 	return k
 }
 
-func (b *Budget) burst() float64 { return max(or(b.Burst, DefaultBurst)/b.sharers(), 1) }
+func (b *Budget) burst() float64 { return max(or(b.Burst, DefaultBurst)/b.processes(), 1) }
 
-func (b *Budget) sharers() float64 {
-	if b.Sharers == nil {
+func (b *Budget) processes() float64 {
+	if b.Processes == nil {
 		return 1
 	}
-	return float64(max(b.Sharers(), 1))
+	return float64(max(b.Processes(), 1))
 }
--- a/internal/node/btnode/node.go
+++ b/internal/node/btnode/node.go
@@ -128,9 +128,9 @@
 		Lengths: btforecast.New(n.timer),
 		Budget: &btretry.Budget{
 			Timer: n.timer, Ratio: budgetShare * s.Bounds.RetryRatio,
-			Minimum: budgetShare * s.Bounds.RetrySlack / max(s.Bounds.RetryWindow.Seconds(), 1),
-			Burst:   budgetShare * s.Bounds.RetrySlack,
-			Sharers: n.gossip.Count,
+			Minimum:   budgetShare * s.Bounds.RetrySlack / max(s.Bounds.RetryWindow.Seconds(), 1),
+			Burst:     budgetShare * s.Bounds.RetrySlack,
+			Processes: n.gossip.Count,
 		},
 	}
 	n.observe()
