--- a/internal/serve/btentry/attempt.go
+++ b/internal/serve/btentry/attempt.go
@@ -16,44 +16,47 @@
 	"bramleytack/internal/upstream/btconn"
 )
 
-// maxAnswer bounds a response that is held until it is complete.
-const maxAnswer = 16 << 20
+// maxResponseBytes bounds a response that is buffered until it is complete.
+const maxResponseBytes = 16 << 20
 
-// errForeign is a response to another request.
-var errForeign = errors.New("btentry: response belongs to another request")
+// errOtherRequest is returned if a response carries the id of another request.
+var errOtherRequest = errors.New("btentry: response belongs to another request")
 
-// reply is what came of sending a request to an upstream.
-type reply struct {
+// attemptResult is how an attempt ended.
+type attemptResult struct {
 	upstream *bramleytack.Upstream
 	status   int
 	header   http.Header
 	body     []byte
-	// outcome says whether the upstream ran the request.
+	// outcome is Ran only if the whole response has arrived or, for a stream, has
+	// begun.
 	outcome bramleytack.Outcome
-	// misdirected is set if another instance has the address.
+	// misdirected is set if another instance answered at the upstream's address.
 	misdirected bool
-	// unsent is set if no byte of the request left.
+	// unsent is set if no byte of the request was sent.
 	unsent bool
-	// unjudged is set if the upstream's failure does not count for its health yet.
-	unjudged bool
-	err      error
+	// unattributed is set if the upstream or the request itself may have caused the
+	// failure. It does not count against the upstream's health yet.
+	unattributed bool
+	err          error
 }
 
-// usable says whether the reply is a whole response of the upstream.
-func (r *reply) usable() bool { return r.err == nil && r.outcome == bramleytack.Ran }
+// usable reports whether the upstream executed the request and its whole
+// response has arrived.
+func (r *attemptResult) usable() bool { return r.err == nil && r.outcome == bramleytack.Ran }
 
-// request builds what an upstream gets.
-func (j *job) request(u *bramleytack.Upstream) *btconn.Request {
-	d := j.h.Dialect
-	header := j.header.Clone()
+// upstreamRequest returns the request to send to u.
+func (req *activeRequest) upstreamRequest(u *bramleytack.Upstream) *btconn.Request {
+	d := req.h.Dialect
+	header := req.header.Clone()
 	header.Set(d.ExpectInstance, string(u.ID))
-	header.Set(d.DeadlineMillis, strconv.FormatInt(max(j.left().Milliseconds(), 1), 10))
-	return &btconn.Request{Method: j.method, Target: j.target, Host: j.host, Header: header, Body: j.body}
+	header.Set(d.DeadlineMillis, strconv.FormatInt(max(req.remaining().Milliseconds(), 1), 10))
+	return &btconn.Request{Method: req.method, Target: req.target, Host: req.host, Header: header, Body: req.body}
 }
 
-// open sends a request and reads the head of the response.
-func (j *job) open(ctx context.Context, u *bramleytack.Upstream, r *btconn.Request) (*btconn.Exchange, error) {
-	c, err := j.connect(ctx, u)
+// open sends a request to u and reads the response header.
+func (req *activeRequest) open(ctx context.Context, u *bramleytack.Upstream, r *btconn.Request) (*btconn.Exchange, error) {
+	c, err := req.connect(ctx, u)
 	if err != nil {
 		return nil, err
 	}
@@ -61,71 +64,72 @@
 	if err != nil {
 		return nil, err
 	}
-	if id := x.Header.Get(j.h.Dialect.RequestID); id != j.id && id != "" {
+	if id := x.Header.Get(req.h.Dialect.RequestID); id != req.id && id != "" {
 		x.Response.Close = true
 		x.Close()
-		return nil, errForeign
+		return nil, errOtherRequest
 	}
-	j.observe(u, x.Header)
+	req.observeLoad(u, x.Header)
 	return x, nil
 }
 
-// connect returns a connection to an upstream. A generation that may not run
-// again gets a new one: an upstream may have dropped a kept one unnoticed, and
-// what was sent on it could then not be called "not run".
-func (j *job) connect(ctx context.Context, u *bramleytack.Upstream) (*btconn.Conn, error) {
-	if j.route.Streaming && !j.route.Repeatable() {
-		return j.h.Pool.Open(ctx, u.Addr)
+// connect returns a connection to an upstream. A stream that may not be repeated
+// gets a new connection: the upstream may have closed a pooled one unnoticed, and
+// it would then be unknown whether it executed a request sent on it.
+func (req *activeRequest) connect(ctx context.Context, u *bramleytack.Upstream) (*btconn.Conn, error) {
+	if req.route.Streaming && !req.route.Repeatable() {
+		return req.h.Pool.Open(ctx, u.Addr)
 	}
-	return j.h.Pool.Get(ctx, u.Addr)
+	return req.h.Pool.Get(ctx, u.Addr)
 }
 
-// observe takes an upstream's load from its response.
-func (j *job) observe(u *bramleytack.Upstream, header http.Header) {
-	parts := strings.Split(header.Get(j.h.Dialect.Load), ",")
+// observeLoad records the load that an upstream reports in its response header.
+func (req *activeRequest) observeLoad(u *bramleytack.Upstream, header http.Header) {
+	parts := strings.Split(header.Get(req.h.Dialect.Load), ",")
 	if len(parts) < 2 {
 		return
 	}
 	running, err := strconv.Atoi(strings.TrimSpace(parts[0]))
 	waiting, err2 := strconv.Atoi(strings.TrimSpace(parts[1]))
 	if err == nil && err2 == nil {
-		j.h.Accounts.Observe(u.ID, running, waiting)
+		req.h.Accounts.Observe(u.ID, running, waiting)
 	}
 }
 
-// attempt sends the request to an upstream and reads the whole response. The
-// context ends with the caller's connection.
-func (j *job) attempt(ctx context.Context, u *bramleytack.Upstream, timeout time.Duration) *reply {
+// attempt sends the request to an upstream and reads the whole response. ctx is
+// canceled when the caller disconnects.
+func (req *activeRequest) attempt(ctx context.Context, u *bramleytack.Upstream, timeout time.Duration) *attemptResult {
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	lease := j.h.Accounts.Begin(u.ID, j.need)
-	started := j.h.Timer.Now()
-	r := j.exchange(limited, u)
-	health := j.health(r)
-	if health == btaccount.Failed && r.usable() && j.route.Repeatable() {
-		// Another upstream shows whether the request fails wherever it runs.
-		health, r.unjudged = btaccount.Abandoned, true
+	lease := req.h.Accounts.Begin(u.ID, req.need)
+	started := req.h.Timer.Now()
+	r := req.exchange(limited, u)
+	health := req.health(r)
+	if health == btaccount.Failed && r.usable() && req.route.Repeatable() {
+		// The request may fail at every upstream; a retry elsewhere shows it.
+		health, r.unattributed = btaccount.Abandoned, true
 	}
-	if r.err != nil && errors.Is(ctx.Err(), context.Canceled) && j.h.Timer.Now().Sub(started) < j.usualPatience() {
-		// The caller left, and the upstream was not late.
+	if r.err != nil && errors.Is(ctx.Err(), context.Canceled) && req.h.Timer.Now().Sub(started) < req.lateThreshold() {
+		// The caller disconnected before the upstream was late.
 		health = btaccount.Abandoned
 	}
 	lease.End(health)
-	j.logAttempt(r, started)
+	req.logAttempt(r, started)
 	return r
 }
 
-func (j *job) exchange(ctx context.Context, u *bramleytack.Upstream) *reply {
-	r := &reply{upstream: u, outcome: bramleytack.Unknown}
-	x, err := j.open(ctx, u, j.request(u))
+func (req *activeRequest) exchange(ctx context.Context, u *bramleytack.Upstream) *attemptResult {
+	r := &attemptResult{upstream: u, outcome: bramleytack.Unknown}
+	x, err := req.open(ctx, u, req.upstreamRequest(u))
 	if err != nil {
 		return r.fail(err)
 	}
 	defer x.Close()
-	return r.read(x, j.h.Dialect)
+	return r.read(x, req.h.Dialect)
 }
 
-func (r *reply) fail(err error) *reply {
+// fail records an error that came before a response.
+func (r *attemptResult) fail(err error) *attemptResult {
 	r.err = err
 	if errors.Is(err, btconn.ErrUnsent) {
 		r.outcome, r.unsent = bramleytack.NotRun, true
@@ -133,12 +137,12 @@
 	return r
 }
 
-// read takes the rest of a response.
-func (r *reply) read(x *btconn.Exchange, d bramleytack.FleetDialect) *reply {
+// read reads the response body and sets the outcome.
+func (r *attemptResult) read(x *btconn.Exchange, d bramleytack.FleetDialect) *attemptResult {
 	r.status, r.header = x.StatusCode, x.Header
-	r.body, r.err = io.ReadAll(io.LimitReader(x.Body, maxAnswer))
+	r.body, r.err = io.ReadAll(io.LimitReader(x.Body, maxResponseBytes))
 	if r.err == nil && !x.Complete() {
-		r.err = errors.Newf("btentry: response is larger than %d bytes", maxAnswer)
+		r.err = errors.Newf("btentry: response is larger than %d bytes", maxResponseBytes)
 	}
 	switch {
 	case r.status == http.StatusMisdirectedRequest:
@@ -151,8 +155,8 @@
 	return r
 }
 
-// health translates a reply for the upstream's account.
-func (j *job) health(r *reply) btaccount.Outcome {
+// health returns the outcome that counts for the upstream's health.
+func (req *activeRequest) health(r *attemptResult) btaccount.Outcome {
 	switch {
 	case r.unsent:
 		return btaccount.Unreachable
@@ -166,8 +170,8 @@
 	return btaccount.Served
 }
 
-func (j *job) logAttempt(r *reply, started time.Time) {
-	j.log(btevent.AttemptEnded).Str("upstream", string(r.upstream.ID)).Str("service", j.service).
-		Int("send", j.sends).Int("status", r.status).Stringer("outcome", r.outcome).
-		Uint64("version", j.s.Version).Dur("took", j.h.Timer.Now().Sub(started)).AnErr("cause", r.err).Send()
+func (req *activeRequest) logAttempt(r *attemptResult, started time.Time) {
+	req.log(btevent.AttemptEnded).Str("upstream", string(r.upstream.ID)).Str("service", req.service).
+		Int("send", req.attempts).Int("status", r.status).Stringer("outcome", r.outcome).
+		Uint64("version", req.snapshot.Version).Dur("took", req.h.Timer.Now().Sub(started)).AnErr("cause", r.err).Send()
 }
--- a/internal/serve/btentry/call.go
+++ b/internal/serve/btentry/call.go
@@ -14,145 +14,154 @@
 )
 
 const (
-	// patience is how many target latencies an idempotent call waits for an
-	// upstream before it goes to another one.
-	patience = 3
-	// leastPatience keeps short targets from abandoning calls too early.
-	leastPatience = 250 * time.Millisecond
-	// maxUnsent bounds the upstreams that are tried without sending anything. A
-	// refused connection takes a round trip; while the store is away half of the
-	// registered upstreams may have ended.
-	maxUnsent = 16
-	// maxUnsentTime bounds the time spent on them. An upstream that does not
-	// answer at all takes 400 ms.
-	maxUnsentTime = 1600 * time.Millisecond
-	// retryPause is the middle of the advice to callers whose request found no
-	// upstream; retryShare is the most of their time left.
-	retryPause = 250 * time.Millisecond
-	retryShare = 0.3
+	// lateLatencyFactor is the number of target latencies after which an upstream
+	// is late and a repeatable call is sent to another one.
+	lateLatencyFactor = 3
+	// minLateThreshold keeps calls of routes with a short target latency from being
+	// abandoned too early.
+	minLateThreshold = 250 * time.Millisecond
+	// maxSkipped bounds the upstreams that a request skips because they are
+	// unreachable or another instance has their address. A refused connection costs
+	// one round trip. During an outage of the store, half of the registered
+	// upstreams may no longer exist.
+	maxSkipped = 16
+	// maxSkipTime is the time since the request's arrival after which it skips no
+	// further upstream. Dialing one that does not answer takes 400 ms.
+	maxSkipTime = 1600 * time.Millisecond
+	// meanRetryAfter is the mean Retry-After of requests that no upstream took.
+	// maxRetryAfterShare bounds it by a share of the time until their deadline.
+	meanRetryAfter     = 250 * time.Millisecond
+	maxRetryAfterShare = 0.3
 )
 
-// call serves a plain call.
-func (j *job) call(ctx context.Context) {
+// call serves a request of a route without streaming. The caller gets the
+// response once it is complete.
+func (req *activeRequest) call(ctx context.Context) {
 	tried := map[bramleytack.UpstreamID]bool{}
-	var last *reply
-	var failing []*bramleytack.Upstream
-	unsent, arrived := 0, 0
+	var last *attemptResult
+	var unattributed []*bramleytack.Upstream
+	skipped, sent := 0, 0
 	for ctx.Err() == nil {
-		u := j.pick(tried)
+		u := req.pickUpstream(tried)
 		if u == nil {
 			break
 		}
 		tried[u.ID] = true
-		if arrived > 0 && !j.h.Budget.Retry(j.service) {
-			j.log(btevent.BudgetSpent).Str("service", j.service).Send()
+		if sent > 0 && !req.h.Budget.Retry(req.service) {
+			req.log(btevent.BudgetSpent).Str("service", req.service).Send()
 			break
 		}
-		r := j.attempt(ctx, u, j.patience())
+		r := req.attempt(ctx, u, req.attemptTimeout())
 		if !r.unsent {
-			arrived++
+			sent++
 		}
 		if r.unsent || r.misdirected {
-			if unsent++; !j.mayTryMore(unsent) {
+			if skipped++; !req.maySkip(skipped) {
 				break
 			}
 			continue
 		}
-		j.sends++
-		if r.unjudged {
-			failing = append(failing, r.upstream)
+		req.attempts++
+		if r.unattributed {
+			unattributed = append(unattributed, r.upstream)
 		}
-		last = better(last, r)
-		if !j.again(r) {
+		last = betterResult(last, r)
+		if !req.mayRetry(r) {
 			break
 		}
 	}
-	if len(failing) == 1 && j.sends > 1 {
-		// It did better at another upstream.
-		j.h.Accounts.RecordFailure(failing[0].ID)
+	if len(unattributed) == 1 && req.attempts > 1 {
+		// No other upstream answered with a server error, so the request is not the
+		// cause.
+		req.h.Accounts.RecordFailure(unattributed[0].ID)
 	}
-	j.finishCall(ctx, last)
+	req.respond(ctx, last)
 }
 
-// mayTryMore says whether one more upstream is tried after some that took
-// nothing.
-func (j *job) mayTryMore(unsent int) bool {
-	return unsent < maxUnsent && j.h.Timer.Now().Sub(j.received) < maxUnsentTime
+// maySkip reports whether the request may try another upstream after it skipped
+// the given number.
+func (req *activeRequest) maySkip(skipped int) bool {
+	return skipped < maxSkipped && req.h.Timer.Now().Sub(req.received) < maxSkipTime
 }
 
-// better returns the reply that says more to the caller.
-func better(a, b *reply) *reply {
+// betterResult returns the result to answer the caller with. A usable result
+// comes first, then one whose outcome is unknown: it must not be hidden by a later
+// attempt that did not run. a may be nil.
+func betterResult(a, b *attemptResult) *attemptResult {
 	if a == nil || b.usable() || b.outcome != bramleytack.NotRun && !a.usable() {
 		return b
 	}
 	return a
 }
 
-// pick returns the next upstream of the service, or nil.
-func (j *job) pick(tried map[bramleytack.UpstreamID]bool) *bramleytack.Upstream {
-	j.s = j.h.Table.Snapshot()
+// pickUpstream returns an upstream of the service that is not in tried, or nil if
+// there is none.
+func (req *activeRequest) pickUpstream(tried map[bramleytack.UpstreamID]bool) *bramleytack.Upstream {
+	req.snapshot = req.h.Table.Snapshot()
 	var u *bramleytack.Upstream
-	u, j.expected = j.h.Accounts.Pick(j.s, j.h.Accounts.Eligible(j.s, j.service, tried), j.need)
+	u, req.expectedDelay = req.h.Accounts.Pick(req.snapshot, req.h.Accounts.Eligible(req.snapshot, req.service, tried), req.need)
 	return u
 }
 
-// again says whether the call may go to one more upstream.
-func (j *job) again(r *reply) bool {
-	if j.sends >= j.route.MaxAttempts {
+// mayRetry reports whether the request may be sent to one more upstream after r.
+func (req *activeRequest) mayRetry(r *attemptResult) bool {
+	if req.attempts >= req.route.MaxAttempts {
 		return false
 	}
 	if r.outcome == bramleytack.NotRun {
 		return true
 	}
-	return j.route.Repeatable() && (r.err != nil || r.status >= http.StatusInternalServerError)
+	return req.route.Repeatable() && (r.err != nil || r.status >= http.StatusInternalServerError)
 }
 
-// patience returns how long one attempt may take.
-func (j *job) patience() time.Duration {
-	left := j.left()
-	if !j.route.Repeatable() || j.sends+1 >= j.route.MaxAttempts {
-		return left
+// attemptTimeout returns how long the next attempt may take.
+func (req *activeRequest) attemptTimeout() time.Duration {
+	remaining := req.remaining()
+	if !req.route.Repeatable() || req.attempts+1 >= req.route.MaxAttempts {
+		return remaining
 	}
-	return min(left, j.usualPatience())
+	return min(remaining, req.lateThreshold())
 }
 
-// usualPatience returns the time after which an upstream counts as late.
-func (j *job) usualPatience() time.Duration {
-	return max(patience*j.route.TargetLatency, leastPatience)
+// lateThreshold returns the response time from which an upstream is late.
+func (req *activeRequest) lateThreshold() time.Duration {
+	return max(lateLatencyFactor*req.route.TargetLatency, minLateThreshold)
 }
 
-// finishCall answers the caller.
-func (j *job) finishCall(ctx context.Context, r *reply) {
+// respond answers the caller according to the result r, which is nil if no
+// attempt could be made.
+func (req *activeRequest) respond(ctx context.Context, r *attemptResult) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		j.log(btevent.CallerLeft).Int("sends", j.sends).Send()
+		req.log(btevent.CallerLeft).Int("sends", req.attempts).Send()
 	case r == nil:
-		j.refuse(http.StatusServiceUnavailable, j.retryAfter(), "no upstream available")
+		req.reject(http.StatusServiceUnavailable, req.retryAfter(), "no upstream available")
 	case r.usable():
-		j.pass(r)
+		req.forward(r)
 	case r.outcome == bramleytack.NotRun:
-		j.refuse(http.StatusServiceUnavailable, j.retryAfter(), "upstreams are full")
-	case ctx.Err() != nil || j.left() <= 0:
-		j.refuse(http.StatusGatewayTimeout, 0, "timeout")
+		req.reject(http.StatusServiceUnavailable, req.retryAfter(), "upstreams are full")
+	case ctx.Err() != nil || req.remaining() <= 0:
+		req.reject(http.StatusGatewayTimeout, 0, "timeout")
 	default:
-		j.refuse(http.StatusBadGateway, 0, "upstream failed")
+		req.reject(http.StatusBadGateway, 0, "upstream failed")
 	}
 }
 
-// pass sends an upstream's response unchanged.
-func (j *job) pass(r *reply) {
-	copyHeader(j.w.Header(), r.header)
-	if j.method != http.MethodHead {
-		j.w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
+// forward sends an upstream's response to the caller unchanged.
+func (req *activeRequest) forward(r *attemptResult) {
+	copyHeader(req.w.Header(), r.header)
+	if req.method != http.MethodHead {
+		req.w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
 	}
-	j.w.WriteHeader(r.status)
-	_, err := j.w.Write(r.body)
-	j.log(btevent.RequestAnswered).Str("upstream", string(r.upstream.ID)).Int("status", r.status).AnErr("cause", err).Send()
-	j.h.Metrics.answered(j, r.status)
+	req.w.WriteHeader(r.status)
+	_, err := req.w.Write(r.body)
+	req.log(btevent.RequestAnswered).Str("upstream", string(r.upstream.ID)).Int("status", r.status).AnErr("cause", err).Send()
+	req.h.Metrics.responded(req, r.status)
 }
 
-// retryAfter spreads the return of refused callers over their time left.
-func (j *job) retryAfter() time.Duration {
-	d := time.Duration((0.5 + rand.Float64()) * float64(retryPause))
-	return max(min(d, time.Duration(retryShare*float64(j.left()))), 0)
+// retryAfter returns a random Retry-After, so that rejected callers do not return
+// all at once.
+func (req *activeRequest) retryAfter() time.Duration {
+	d := time.Duration((0.5 + rand.Float64()) * float64(meanRetryAfter))
+	return max(min(d, time.Duration(maxRetryAfterShare*float64(req.remaining()))), 0)
 }
--- a/internal/serve/btentry/doc.go
+++ b/internal/serve/btentry/doc.go
@@ -1,17 +1,22 @@
 // Package btentry serves callers' requests by forwarding them to upstreams.
 //
-// A request is matched to a route, its API key to a workspace, and then sent to
-// an upstream of the route's service. Plain calls are answered once the whole
-// response has arrived. Event streams are relayed event by event; a generation
-// whose engine leaves or dies goes on at another engine inside the same
-// response, from a copy of its memory or after its last event.
+// A Handler matches a request to a route and its API key to a workspace, and
+// sends it to an upstream of the route's service. A plain call is answered once
+// the whole response has arrived. An event stream is relayed event by event. If
+// the engine of a generation shuts down or crashes, another engine continues the
+// generation inside the same response, from a copy of its key-value memory or
+// after the last event.
 //
-// A rejection with status 408, 421, 429 or 503 is sent only if no upstream has
-// executed the request and none will. Every doubt is answered 502 or 504, or by
-// a broken connection once a response has begun.
+// The daemon rejects a request with status 408, 421, 429 or 503 only if no
+// upstream has executed it and none will. If an upstream may have executed it,
+// the status is 502 or 504. Once a response has begun, a failure closes the
+// connection.
 //
 // # Usage
 //
-//	h := &btentry.Handler{Table: table, Accounts: accounts, Pool: pool, Dialect: dialect}
+//	h := &btentry.Handler{
+//		Table: table, Accounts: accounts, Pool: pool, Dialect: dialect,
+//		Timer: timers, Log: log, Budget: budget, Lengths: lengths,
+//	}
 //	server := &http.Server{Handler: h}
 package btentry
--- a/internal/serve/btentry/handler.go
+++ b/internal/serve/btentry/handler.go
@@ -24,15 +24,18 @@
 )
 
 const (
-	// defaultBody bounds a body while the configuration names no limit.
-	defaultBody = 4 << 20
-	// maxBuffered bounds the bodies that are held at once.
-	maxBuffered = 24 << 20
-	// startingPause is the advice to callers of a daemon without configuration.
-	startingPause = 400 * time.Millisecond
+	// defaultMaxBodyBytes bounds a request body if the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// maxBufferedBytes bounds the request bodies that the handler keeps in memory.
+	// A body of unknown length counts only after it has been read.
+	maxBufferedBytes = 24 << 20
+	// daemonRetryAfter is the Retry-After value if the daemon has no configuration
+	// yet or keeps too many request bodies in memory.
+	daemonRetryAfter = 400 * time.Millisecond
 )
 
-// Handler serves callers.
+// Handler serves callers over HTTP. Its fields are set before the first request.
+// Mover, Log, Metrics and Leaving may be nil.
 type Handler struct {
 	Table    *btreplica.Table
 	Accounts *btaccount.Table
@@ -44,52 +47,54 @@
 	Metrics  *Metrics
 	Budget   *btretry.Budget
 	Lengths  *btforecast.Lengths
-	// Leaving says whether the daemon is shutting down.
+	// Leaving reports whether the daemon is shutting down. Responses then close
+	// their connection.
 	Leaving func() bool
 
 	active   atomic.Int64
 	buffered atomic.Int64
 }
 
-// Active returns the number of requests that are being served.
+// Active returns the number of requests that are being served. It is safe for
+// concurrent use.
 func (h *Handler) Active() int { return int(h.active.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	j := &job{h: h, w: w, id: r.Header.Get(h.Dialect.RequestID), received: h.Timer.Now()}
+	req := &activeRequest{h: h, w: w, id: r.Header.Get(h.Dialect.RequestID), received: h.Timer.Now()}
 	if h.Leaving != nil && h.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
-	if !j.admit(r) {
+	if !req.admit(r) {
 		return
 	}
-	defer h.buffered.Add(-int64(len(j.body)))
-	ctx, cancel := context.WithDeadlineCause(r.Context(), j.deadline, errDeadline)
+	defer h.buffered.Add(-int64(len(req.body)))
+	ctx, cancel := context.WithDeadlineCause(r.Context(), req.deadline, errDeadline)
 	defer cancel()
-	h.Budget.Request(j.service)
-	if j.route.Streaming {
-		j.stream(ctx)
+	h.Budget.Request(req.service)
+	if req.route.Streaming {
+		req.stream(ctx)
 		return
 	}
-	j.call(ctx)
+	req.call(ctx)
 }
 
-// errDeadline ends a request whose time is up.
+// errDeadline is the cancellation cause of a request that reaches its deadline.
 var errDeadline = errors.New("btentry: deadline has passed")
 
-// job is one request on its way.
-type job struct {
+// activeRequest is the state of one request while it is served.
+type activeRequest struct {
 	h        *Handler
 	w        http.ResponseWriter
-	s        *bramleytack.Snapshot
+	snapshot *bramleytack.Snapshot
 	route    *bramleytack.Route
 	service  string
 	id       string
 	received time.Time
-	// deadline is the end of the route's timeout or of the caller's patience,
-	// whichever is first.
+	// deadline is the end of the route's timeout or the caller's own deadline,
+	// whichever is earlier.
 	deadline  time.Time
 	workspace bramleytack.WorkspaceID
 	method    string
@@ -98,96 +103,105 @@
 	header    http.Header
 	body      []byte
 	need      btaccount.Need
-	// expected is the delay that the last chosen upstream is expected to have.
-	expected time.Duration
-	sends    int
+	// expectedDelay is the delay that was expected of the last chosen upstream.
+	expectedDelay time.Duration
+	// attempts counts the attempts that have ended or were replaced by another one,
+	// without those that reached no upstream or another instance.
+	attempts int
 }
 
-// admit reads a request and finds its route and its workspace. It answers the
-// request itself if that fails.
-func (j *job) admit(r *http.Request) bool {
-	h := j.h
-	j.s = h.Table.Snapshot()
-	if j.s == nil {
-		j.refuse(http.StatusServiceUnavailable, startingPause, "no configuration yet")
+// admit finds the request's route and workspace and reads its headers and body.
+// If it returns false, the request is finished: it was rejected, or its caller
+// has disconnected.
+func (req *activeRequest) admit(r *http.Request) bool {
+	h := req.h
+	req.snapshot = h.Table.Snapshot()
+	if req.snapshot == nil {
+		req.reject(http.StatusServiceUnavailable, daemonRetryAfter, "no configuration yet")
 		return false
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	j.route = j.s.Routes.Find(r.Host, path)
-	if j.route == nil {
-		j.refuse(http.StatusNotFound, 0, "no route")
+	req.route = req.snapshot.Routes.Find(r.Host, path)
+	if req.route == nil {
+		req.reject(http.StatusNotFound, 0, "no route")
 		return false
 	}
-	if !j.identify(r) {
-		j.refuse(http.StatusUnauthorized, 0, "unknown API key")
+	if !req.authenticate(r) {
+		req.reject(http.StatusUnauthorized, 0, "unknown API key")
 		return false
 	}
-	j.method, j.target, j.host = r.Method, r.RequestURI, r.Host
-	j.service = j.route.Service(rand.Float64())
-	j.setDeadline(r)
-	j.setHeader(r)
-	j.need = j.readNeed(r.Header)
-	return j.readBody(r)
+	req.method, req.target, req.host = r.Method, r.RequestURI, r.Host
+	req.service = req.route.Service(rand.Float64())
+	req.setDeadline(r)
+	req.setHeader(r)
+	req.need = req.readNeed(r.Header)
+	return req.readBody(r)
 }
 
-func (j *job) identify(r *http.Request) bool {
-	if len(j.s.Workspaces) == 0 {
+// authenticate sets the workspace that the request's API key belongs to. It
+// reports whether the request is allowed: a public route needs no key, and neither
+// does any route while no workspace is configured.
+func (req *activeRequest) authenticate(r *http.Request) bool {
+	if len(req.snapshot.Workspaces) == 0 {
 		return true
 	}
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	var w *bramleytack.Workspace
 	if strings.EqualFold(scheme, "Bearer") {
-		w = j.s.ByKeyHash[btidentity.HashKey(strings.TrimSpace(key))]
+		w = req.snapshot.ByKeyHash[btidentity.HashKey(strings.TrimSpace(key))]
 	}
 	if w == nil {
-		return j.route.Public
+		return req.route.Public
 	}
-	j.workspace = w.Name
+	req.workspace = w.Name
 	return true
 }
 
-func (j *job) setDeadline(r *http.Request) {
-	j.deadline = j.received.Add(j.route.Timeout)
-	ms, err := strconv.ParseInt(r.Header.Get(j.h.Dialect.DeadlineMillis), 10, 64)
+func (req *activeRequest) setDeadline(r *http.Request) {
+	req.deadline = req.received.Add(req.route.Timeout)
+	ms, err := strconv.ParseInt(r.Header.Get(req.h.Dialect.DeadlineMillis), 10, 64)
 	if err != nil || ms < 0 {
 		return
 	}
-	if d := j.received.Add(time.Duration(ms) * time.Millisecond); j.route.Timeout <= 0 || d.Before(j.deadline) {
-		j.deadline = d
+	if d := req.received.Add(time.Duration(ms) * time.Millisecond); req.route.Timeout <= 0 || d.Before(req.deadline) {
+		req.deadline = d
 	}
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders concern a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-func (j *job) setHeader(r *http.Request) {
-	j.header = r.Header.Clone()
-	dropHopHeaders(j.header)
-	for _, name := range j.h.Dialect.Reserved {
-		j.header.Del(name)
+// setHeader prepares the header for the upstream. Headers that are reserved for
+// the daemon are removed, so that callers cannot forge them.
+func (req *activeRequest) setHeader(r *http.Request) {
+	req.header = r.Header.Clone()
+	removeHopByHopHeaders(req.header)
+	for _, name := range req.h.Dialect.Reserved {
+		req.header.Del(name)
 	}
-	if j.workspace != "" {
-		j.header.Set(j.h.Dialect.Workspace, string(j.workspace))
+	if req.workspace != "" {
+		req.header.Set(req.h.Dialect.Workspace, string(req.workspace))
 	}
 }
 
-func dropHopHeaders(h http.Header) {
+func removeHopByHopHeaders(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// readNeed reads the size of a generation from its headers.
-func (j *job) readNeed(header http.Header) btaccount.Need {
-	h := j.h
+// readNeed reads the size of a generation from its headers. It returns the zero
+// Need if they are missing or invalid.
+func (req *activeRequest) readNeed(header http.Header) btaccount.Need {
+	h := req.h
 	prompt, output, ok := strings.Cut(header.Get(h.Dialect.TokenCounts), ",")
 	if !ok {
 		return btaccount.Need{}
@@ -201,73 +215,74 @@
 	if err != nil {
 		hint = 0
 	}
-	return btaccount.Need{Prompt: in, Output: h.Lengths.Forecast(j.route.Name, hint, out), MaxOutput: out}
+	return btaccount.Need{Prompt: in, Output: h.Lengths.Forecast(req.route.Name, hint, out), MaxOutput: out}
 }
 
-func (j *job) readBody(r *http.Request) bool {
-	limit := int64(j.s.Limits.BodyBytes)
+func (req *activeRequest) readBody(r *http.Request) bool {
+	limit := int64(req.snapshot.Limits.BodyBytes)
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
-		j.refuse(http.StatusRequestEntityTooLarge, 0, "body is too large")
+		req.reject(http.StatusRequestEntityTooLarge, 0, "body is too large")
 		return false
 	}
-	if j.h.buffered.Load()+max(r.ContentLength, 0) > maxBuffered {
-		j.refuse(http.StatusServiceUnavailable, startingPause, "too many bodies in memory")
+	if req.h.buffered.Load()+max(r.ContentLength, 0) > maxBufferedBytes {
+		req.reject(http.StatusServiceUnavailable, daemonRetryAfter, "too many bodies in memory")
 		return false
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(j.w, r.Body, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(req.w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		j.refuse(http.StatusRequestEntityTooLarge, 0, "body is too large")
+		req.reject(http.StatusRequestEntityTooLarge, 0, "body is too large")
 		return false
 	case err != nil:
-		j.log(btevent.CallerLeft).Err(err).Send()
+		req.log(btevent.CallerLeft).Err(err).Send()
 		return false
 	}
-	j.body = body
-	j.h.buffered.Add(int64(len(body)))
+	req.body = body
+	req.h.buffered.Add(int64(len(body)))
 	return true
 }
 
-// left returns the time until the deadline.
-func (j *job) left() time.Duration { return j.deadline.Sub(j.h.Timer.Now()) }
+// remaining returns the time until the deadline.
+func (req *activeRequest) remaining() time.Duration { return req.deadline.Sub(req.h.Timer.Now()) }
 
-// log starts a line about the request.
-func (j *job) log(e btevent.Event) *zerologEvent {
-	line := j.h.Log.Event(e).Str("request", j.id).Dur("after", j.h.Timer.Now().Sub(j.received))
-	if j.route != nil {
-		line = line.Str("route", j.route.Name)
+// log starts a log entry about the request.
+func (req *activeRequest) log(e btevent.Event) *logEvent {
+	line := req.h.Log.Event(e).Str("request", req.id).Dur("after", req.h.Timer.Now().Sub(req.received))
+	if req.route != nil {
+		line = line.Str("route", req.route.Name)
 	}
 	return line
 }
 
-// refuse answers with a status of the system's own.
-func (j *job) refuse(status int, retryAfter time.Duration, reason string) {
-	j.log(btevent.RequestRejected).Int("status", status).Int("sends", j.sends).Str("reason", reason).Send()
-	j.h.Metrics.rejected(status, reason)
-	header := j.w.Header()
+// reject answers the request with an error of the daemon. The reason becomes the
+// response body and a metric label.
+func (req *activeRequest) reject(status int, retryAfter time.Duration, reason string) {
+	req.log(btevent.RequestRejected).Int("status", status).Int("sends", req.attempts).Str("reason", reason).Send()
+	req.h.Metrics.rejected(status, reason)
+	header := req.w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	if j.id != "" {
-		header.Set(j.h.Dialect.RequestID, j.id)
+	if req.id != "" {
+		header.Set(req.h.Dialect.RequestID, req.id)
 	}
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	j.w.WriteHeader(status)
-	_, _ = io.WriteString(j.w, reason+"\n")
+	req.w.WriteHeader(status)
+	_, _ = io.WriteString(req.w, reason+"\n")
 }
 
-// copyHeader passes a response's header on.
+// copyHeader copies an upstream's response header to the caller's response.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
 	}
-	dropHopHeaders(to)
+	removeHopByHopHeaders(to)
 	if _, ok := from["Content-Type"]; !ok {
-		// Keeps net/http from guessing one.
+		// A nil value keeps net/http from detecting a type.
 		to["Content-Type"] = nil
 	}
 	if _, ok := from["Date"]; !ok {
--- a/internal/serve/btentry/handover.go
+++ b/internal/serve/btentry/handover.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// moveTimeout bounds one move of a generation's memory, which queues behind
-	// others on the links. An engine seldom stays longer after its notice.
+	// moveTimeout bounds one move, whose transfer queues behind others on the
+	// engines' links. An engine seldom runs longer after it starts leaving.
 	moveTimeout = 4 * time.Second
-	// probeTimeout bounds the connection that tells a dead engine from a busy
-	// one. It is several round trips between failure domains.
+	// probeTimeout is how long an engine may take to accept a connection before it
+	// counts as unreachable and not just busy. It is several round trips between
+	// failure domains.
 	probeTimeout = 50 * time.Millisecond
 )
 
-// moveResult is the end of a move.
+// moveResult is how a move ended.
 type moveResult struct {
 	source *segment
 	target *bramleytack.Upstream
@@ -26,51 +27,55 @@
 	err    error
 }
 
-// checkLeaving acts on the current engine's leaving.
+// checkLeaving hands the stream over if the current engine is leaving: to the
+// backup engine if its copy is complete, and by a move otherwise.
 func (s *relay) checkLeaving() {
-	s.j.s = s.j.h.Table.Snapshot()
-	if s.moving || s.next != nil || s.cur.cancel == nil || s.cur.events == 0 || !leaving(s.j.s, s.cur.upstream) {
+	s.req.snapshot = s.req.h.Table.Snapshot()
+	if s.moving || s.next != nil || s.cur.cancel == nil || s.cur.eventCount == 0 || !isLeaving(s.req.snapshot, s.cur.upstream) {
 		return
 	}
-	if s.j.need.MaxOutput < backupOutput {
+	if s.req.need.MaxOutput < minBackupOutput {
 		return
 	}
-	if s.cur.backup != nil && s.j.h.Timer.Now().Sub(s.cur.firstAt) >= copyAge {
+	if s.cur.backup != nil && s.req.h.Timer.Now().Sub(s.cur.firstEventAt) >= backupReadyAfter {
 		s.probe(s.cur.backup)
 		return
 	}
 	s.move()
 }
 
-// leaving says whether an upstream will end soon.
-func leaving(s *bramleytack.Snapshot, u *bramleytack.Upstream) bool {
-	now, ok := s.Upstreams[u.ID]
-	return !ok || now.State == bramleytack.UpstreamLeaving
+// isLeaving reports whether an upstream is leaving or no longer registered.
+func isLeaving(snapshot *bramleytack.Snapshot, u *bramleytack.Upstream) bool {
+	current, ok := snapshot.Upstreams[u.ID]
+	return !ok || current.State == bramleytack.UpstreamLeaving
 }
 
-// checkSilence acts on an engine that sends nothing.
+// checkSilence acts on a current engine that sends nothing. After the first event
+// it is probed; before that, a resumable stream is sent to another engine. If a
+// next segment is running already, its overlap is checked instead.
 func (s *relay) checkSilence() {
-	now := s.j.h.Timer.Now()
+	now := s.req.h.Timer.Now()
 	if s.next != nil {
 		s.checkOverlap(now)
 		return
 	}
-	quiet := now.Sub(s.cur.eventAt)
+	silent := now.Sub(s.cur.lastEventAt)
 	if s.headSent {
-		if quiet >= s.silence() {
+		if silent >= s.silenceLimit() {
 			s.probe(s.cur.upstream)
 		}
 		return
 	}
-	limit := max(time.Duration(firstEventShare*float64(s.j.route.TargetLatency)), lateFactor*s.j.expected)
-	if s.j.route.Resumable && limit > 0 && quiet >= limit && s.cur.origin == fromStart {
-		s.runAgain("no first event")
+	limit := max(time.Duration(firstEventShare*float64(s.req.route.TargetLatency)), lateDelayFactor*s.req.expectedDelay)
+	if s.req.route.Resumable && limit > 0 && silent >= limit && s.cur.origin == fromStart {
+		s.resume("no first event")
 	}
 }
 
-// probe finds out whether an engine takes connections: the current one that is
-// silent, which may have preempted the generation or read long prompts, or the
-// one with the copy, before the current one is ended.
+// probe starts a check whether u accepts connections. The current engine is
+// checked when it is silent, since it may be live and have preempted the generation
+// or be reading long prompts. The backup engine is checked before the current
+// segment is ended in favor of the copy. Without a backup, probe does nothing.
 func (s *relay) probe(u *bramleytack.Upstream) {
 	if s.probing || s.cur.backup == nil || s.cur.cancel == nil {
 		return
@@ -79,7 +84,7 @@
 	go (&probe{relay: s, segment: s.cur, upstream: u}).run()
 }
 
-// probe is one test of an engine.
+// probe is one check whether an engine accepts connections.
 type probe struct {
 	relay    *relay
 	segment  *segment
@@ -90,43 +95,49 @@
 	s := p.relay
 	ctx, cancel := context.WithTimeout(s.ctx, probeTimeout)
 	defer cancel()
-	err := s.j.h.Pool.Check(ctx, p.upstream.Addr)
-	s.probed <- probeResult{segment: p.segment, upstream: p.upstream, err: err, silent: ctx.Err() != nil && s.ctx.Err() == nil}
+	err := s.req.h.Pool.Check(ctx, p.upstream.Addr)
+	s.probeResults <- probeResult{segment: p.segment, upstream: p.upstream, err: err, silent: ctx.Err() != nil && s.ctx.Err() == nil}
 }
 
-// probeResult is what a probe found.
+// probeResult is the result of a probe.
 type probeResult struct {
 	segment  *segment
 	upstream *bramleytack.Upstream
 	err      error
-	// silent is set if nothing answered in time.
+	// silent is set if the engine did not answer within probeTimeout.
 	silent bool
 }
 
-func (s *relay) takeProbe(r probeResult) {
+// handleProbe continues from the copy if the current engine did not answer, or if
+// the backup engine accepted the connection. If the backup engine cannot be used,
+// it moves the generation. A current engine that answers in time, even by refusing
+// the connection, keeps the stream.
+func (s *relay) handleProbe(r probeResult) {
 	s.probing = false
 	if r.segment != s.cur || s.cur.cancel == nil || s.next != nil {
 		return
 	}
 	switch {
 	case r.upstream == s.cur.upstream && r.err != nil && r.silent:
-		s.goOnFromBackup("silent")
+		s.continueFromBackup("silent")
 	case r.upstream == s.cur.upstream:
-	case r.err != nil || !s.goOnFromBackup("leaving"):
+	case r.err != nil || !s.continueFromBackup("leaving"):
 		s.cur.backup = nil
 		s.move()
 	}
 }
 
-// checkOverlap ends the time in which two engines hold the generation.
+// checkOverlap closes one of two running segments after maxOverlap: the next one
+// if the current one has sent an event since, and the current one otherwise. Two
+// engines that have yet to send the first event of a resumable stream may continue.
 func (s *relay) checkOverlap(now time.Time) {
-	if now.Sub(s.next.started) < overlap || s.next.origin == fromEvent && !s.headSent {
+	if now.Sub(s.next.started) < maxOverlap || s.next.origin == fromEvent && !s.headSent {
 		return
 	}
 	if s.cur.cancel == nil {
 		return
 	}
-	if s.cur.eventAt.After(s.next.started) {
+	if s.cur.lastEventAt.After(s.next.started) {
 		s.next.close(btaccount.Abandoned)
 		s.next = nil
 		return
@@ -134,103 +145,108 @@
 	s.cur.close(btaccount.Failed)
 }
 
-// goOnFromBackup starts the segment that goes on from the copy at the backup
-// engine, and says whether there is one.
-func (s *relay) goOnFromBackup(reason string) bool {
-	g := s.cur
-	if g.backup == nil {
+// continueFromBackup closes the current segment and starts one from the copy at
+// the backup engine. It reports false if there is no backup or it accepts no work.
+func (s *relay) continueFromBackup(reason string) bool {
+	seg := s.cur
+	if seg.backup == nil {
 		return false
 	}
-	s.j.s = s.j.h.Table.Snapshot()
-	u := s.j.s.Upstreams[g.backup.ID]
-	if !s.j.s.Accepts(g.backup.ID) {
+	s.req.snapshot = s.req.h.Table.Snapshot()
+	u := s.req.snapshot.Upstreams[seg.backup.ID]
+	if !s.req.snapshot.Accepts(seg.backup.ID) {
 		return false
 	}
 	// A copy can be used once, and only after its generation has stopped.
-	g.backup = nil
-	g.close(btaccount.Abandoned)
-	name := bramleytack.EngineCopy{Holder: u.Addr, Handle: s.j.id}.String()
+	seg.backup = nil
+	seg.close(btaccount.Abandoned)
+	name := bramleytack.EngineCopy{Holder: u.Addr, Handle: s.req.id}.String()
 	s.startNext(u, fromCopy, name, reason)
 	return true
 }
 
+// startNext starts the next segment.
 func (s *relay) startNext(u *bramleytack.Upstream, from origin, copyName, reason string) {
-	s.next = s.segment(u, from, copyName)
+	s.next = s.newSegment(u, from, copyName)
 	s.next.start(s.ctx)
-	s.j.log(btevent.HandoverStarted).Str("from", string(s.cur.upstream.ID)).Str("to", string(u.ID)).Stringer("origin", from).
-		Str("reason", reason).Uint64("lastEvent", s.last).Str("backup", s.next.backupName()).Send()
+	s.req.log(btevent.HandoverStarted).Str("from", string(s.cur.upstream.ID)).Str("to", string(u.ID)).Stringer("origin", from).
+		Str("reason", reason).Uint64("lastEvent", s.lastEventID).Str("backup", s.next.backupName()).Send()
 }
 
-// runAgain sends a resumable stream to another engine.
-func (s *relay) runAgain(reason string) bool {
-	if !s.j.route.Resumable || s.j.sends+1 >= s.j.route.MaxAttempts || !s.j.h.Budget.Retry(s.j.service) {
+// resume sends a resumable request to another engine, to continue after the last
+// event. It reports false if the route, its attempt limit or the retry budget does
+// not allow it, or if no engine is left.
+func (s *relay) resume(reason string) bool {
+	if !s.req.route.Resumable || s.req.attempts+1 >= s.req.route.MaxAttempts || !s.req.h.Budget.Retry(s.req.service) {
 		return false
 	}
-	u := s.j.pick(s.tried)
+	u := s.req.pickUpstream(s.tried)
 	if u == nil {
 		return false
 	}
 	s.tried[u.ID] = true
-	s.j.sends++
+	s.req.attempts++
 	s.startNext(u, fromEvent, "", reason)
 	return true
 }
 
-// recoverFrom goes on after the current segment broke.
-func (s *relay) recoverFrom(g *segment, err error) {
+// recoverStream continues the stream after the current segment failed, or ends the
+// request if it cannot.
+func (s *relay) recoverStream(seg *segment, err error) {
 	if s.moving {
-		// The move's result decides.
+		// handleMove continues the stream or recovers it.
 		return
 	}
 	if s.next != nil {
-		// The segment that takes over is already on its way.
+		// The next segment has already started.
 		return
 	}
 	if !s.headSent {
-		// The engine may have run the request, whatever the next one says.
-		s.verdict = &reply{upstream: g.upstream, outcome: bramleytack.Unknown, err: err}
+		// The engine may have run the request, even if a later attempt does not run.
+		s.finalResult = &attemptResult{upstream: seg.upstream, outcome: bramleytack.Unknown, err: err}
 	}
 	reason := "broken"
 	if err != nil {
 		reason = err.Error()
 	}
-	if s.goOnFromBackup(reason) || s.runAgain(reason) {
+	if s.continueFromBackup(reason) || s.resume(reason) {
 		return
 	}
-	s.giveUp()
+	s.fail()
 }
 
-// nextFailed handles a take-over that failed. The current engine still runs
-// only if the next one was to run the stream again: a copy needs its end.
+// nextFailed handles a next segment that failed. The current segment may still run
+// if the next one was to resume the stream, but not if it was to continue from a
+// copy, which requires that the generation has ended.
 func (s *relay) nextFailed() {
 	if s.cur.cancel != nil {
 		return
 	}
-	if s.goOnFromBackup("second copy") || s.runAgain("take-over failed") {
+	if s.continueFromBackup("handover failed, using backup copy") || s.resume("handover failed") {
 		return
 	}
-	s.giveUp()
+	s.fail()
 }
 
-// move copies the generation's memory to another engine while it runs. The
-// other engine reads the tokens that the copy lacks again: that takes less time
-// than a second copy, which would queue behind those of other generations.
+// move starts to copy the generation's memory to another engine while it runs.
+// That engine recomputes the tokens produced since the copy was taken, which takes
+// less time than a second copy that queues behind those of other generations.
 func (s *relay) move() {
-	profile := s.j.s.Engine(s.j.service)
-	if s.moving || profile == nil || !profile.Moves || s.j.h.Mover == nil {
+	profile := s.req.snapshot.Engine(s.req.service)
+	if s.moving || profile == nil || !profile.Moves || s.req.h.Mover == nil {
 		return
 	}
-	target := s.j.h.Accounts.PickTarget(s.j.s, s.cur.upstream, s.need())
+	target := s.req.h.Accounts.PickTarget(s.req.snapshot, s.cur.upstream, s.remainingNeed())
 	if target == nil {
 		return
 	}
 	s.moving = true
-	m := &move{relay: s, source: s.cur, target: target, need: s.need()}
-	s.j.log(btevent.MoveStarted).Str("from", string(s.cur.upstream.ID)).Str("to", string(target.ID)).Uint64("lastEvent", s.last).Send()
+	m := &move{relay: s, source: s.cur, target: target, need: s.remainingNeed()}
+	s.req.log(btevent.MoveStarted).Str("from", string(s.cur.upstream.ID)).Str("to", string(target.ID)).Uint64("lastEvent", s.lastEventID).Send()
 	go m.run()
 }
 
-// move copies a generation's memory.
+// move is one transfer of a running generation's memory.
 type move struct {
 	relay  *relay
 	source *segment
@@ -241,18 +257,18 @@
 func (m *move) run() {
 	s := m.relay
 	r := moveResult{source: m.source, target: m.target}
-	held := s.j.h.Accounts.BeginCopy(m.target.ID, m.need)
-	defer held.End()
+	lease := s.req.h.Accounts.BeginCopy(m.target.ID, m.need)
+	defer lease.End()
 	ctx, cancel := context.WithTimeout(s.ctx, moveTimeout)
 	defer cancel()
-	r.copy, r.err = s.j.h.Mover.Move(ctx, m.source.upstream.Addr, m.target.Addr, s.j.id, false)
-	s.moved <- r
+	r.copy, r.err = s.req.h.Mover.Move(ctx, m.source.upstream.Addr, m.target.Addr, s.req.id, false)
+	s.moveResults <- r
 }
 
-// takeMove goes on from the copy that a move made.
-func (s *relay) takeMove(m moveResult) {
+// handleMove continues the stream from the copy that a move made.
+func (s *relay) handleMove(m moveResult) {
 	s.moving = false
-	s.j.log(btevent.MoveEnded).Str("from", string(m.source.upstream.ID)).Str("to", string(m.target.ID)).
+	s.req.log(btevent.MoveEnded).Str("from", string(m.source.upstream.ID)).Str("to", string(m.target.ID)).
 		AnErr("cause", m.err).Send()
 	if s.done || m.source != s.cur {
 		return
@@ -263,20 +279,21 @@
 		return
 	}
 	if s.cur.cancel == nil {
-		s.recoverFrom(s.cur, m.err)
+		s.recoverStream(s.cur, m.err)
 	}
 }
 
-// tryCopyAgain repeats a take-over that was refused: the copy can be used only
-// once the engine before has noticed the end of its generation.
-func (s *relay) tryCopyAgain(g *segment, r *reply) bool {
-	if g.origin != fromCopy || r.outcome != bramleytack.NotRun || r.unsent || g.retries >= copyRetries {
+// retryCopy repeats a handover to a copy that was rejected unexecuted: the copy can
+// be used only after the previous engine has noticed the end of the generation. It
+// reports whether the handover was repeated.
+func (s *relay) retryCopy(seg *segment, r *attemptResult) bool {
+	if seg.origin != fromCopy || r.outcome != bramleytack.NotRun || r.unsent || seg.retries >= copyRetries {
 		return false
 	}
-	if s.j.h.Timer.Sleep(s.ctx, copyRetryPause) != nil {
+	if s.req.h.Timer.Sleep(s.ctx, copyRetryPause) != nil {
 		return false
 	}
-	s.startNext(g.upstream, fromCopy, g.copyName, "refused before")
-	s.next.retries = g.retries + 1
+	s.startNext(seg.upstream, fromCopy, seg.copyName, "previous attempt rejected")
+	s.next.retries = seg.retries + 1
 	return true
 }
--- a/internal/serve/btentry/metrics.go
+++ b/internal/serve/btentry/metrics.go
@@ -9,39 +9,40 @@
 	"github.com/rs/zerolog"
 )
 
-type zerologEvent = zerolog.Event
+type logEvent = zerolog.Event
 
-// latencyBuckets are in seconds around the targets of calls and first events.
+// latencyBuckets are in seconds, around the target latencies of calls and of first
+// events.
 var latencyBuckets = []float64{0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 1.8, 3, 6, 12, 40}
 
-// gapBuckets are in seconds around the longest pause of 180 ms.
+// gapBuckets are in seconds, around the maximum pause of 180 ms between events.
 var gapBuckets = []float64{0.02, 0.04, 0.06, 0.09, 0.12, 0.18, 0.25, 0.5, 1, 2}
 
-// Metrics count what callers get.
+// Metrics counts and times responses to callers. A nil *Metrics records nothing.
 type Metrics struct {
-	answers    *prometheus.CounterVec
-	rejections *prometheus.CounterVec
-	brokenOff  prometheus.Counter
-	latency    *prometheus.HistogramVec
-	first      prometheus.Histogram
-	gaps       prometheus.Histogram
-	handovers  prometheus.Histogram
-	roomWaits  prometheus.Histogram
+	answers           *prometheus.CounterVec
+	rejections        *prometheus.CounterVec
+	brokenStreams     prometheus.Counter
+	latency           *prometheus.HistogramVec
+	firstEventLatency prometheus.Histogram
+	eventGaps         prometheus.Histogram
+	handoverPauses    prometheus.Histogram
+	memoryWaits       prometheus.Histogram
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics registers the metrics with r. It panics if r has them already.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		answers:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "bramleytack_answers_total", Help: "Responses of upstreams that were passed on."}, []string{"status"}),
-		rejections: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "bramleytack_rejections_total", Help: "Responses of the daemon itself."}, []string{"status", "reason"}),
-		brokenOff:  prometheus.NewCounter(prometheus.CounterOpts{Name: "bramleytack_streams_broken_total", Help: "Streams that ended before their end."}),
-		latency:    prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "bramleytack_answer_seconds", Help: "Time to the whole response.", Buckets: latencyBuckets}, []string{"kind"}),
-		first:      prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_first_event_seconds", Help: "Time to the first event.", Buckets: latencyBuckets}),
-		gaps:       prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_event_gap_seconds", Help: "Time between events.", Buckets: gapBuckets}),
-		handovers:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_handover_pause_seconds", Help: "Pause of a stream that went on at another engine.", Buckets: gapBuckets}),
-		roomWaits:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_room_wait_seconds", Help: "Time until an engine had room for a generation.", Buckets: latencyBuckets}),
+		answers:           prometheus.NewCounterVec(prometheus.CounterOpts{Name: "bramleytack_answers_total", Help: "Responses of upstreams that were passed on."}, []string{"status"}),
+		rejections:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "bramleytack_rejections_total", Help: "Responses of the daemon itself."}, []string{"status", "reason"}),
+		brokenStreams:     prometheus.NewCounter(prometheus.CounterOpts{Name: "bramleytack_streams_broken_total", Help: "Streams that ended before their end."}),
+		latency:           prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "bramleytack_answer_seconds", Help: "Time to the whole response.", Buckets: latencyBuckets}, []string{"kind"}),
+		firstEventLatency: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_first_event_seconds", Help: "Time to the first event.", Buckets: latencyBuckets}),
+		eventGaps:         prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_event_gap_seconds", Help: "Time between events.", Buckets: gapBuckets}),
+		handoverPauses:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_handover_pause_seconds", Help: "Pause of a stream that went on at another engine.", Buckets: gapBuckets}),
+		memoryWaits:       prometheus.NewHistogram(prometheus.HistogramOpts{Name: "bramleytack_room_wait_seconds", Help: "Time until an engine had room for a generation.", Buckets: latencyBuckets}),
 	}
-	r.MustRegister(m.answers, m.rejections, m.brokenOff, m.latency, m.first, m.gaps, m.handovers, m.roomWaits)
+	r.MustRegister(m.answers, m.rejections, m.brokenStreams, m.latency, m.firstEventLatency, m.eventGaps, m.handoverPauses, m.memoryWaits)
 	return m
 }
 
@@ -51,36 +52,36 @@
 	}
 }
 
-func (m *Metrics) answered(j *job, status int) {
+func (m *Metrics) responded(req *activeRequest, status int) {
 	if m == nil {
 		return
 	}
 	kind := "call"
-	if j.route.Streaming {
+	if req.route.Streaming {
 		kind = "stream"
 	}
 	if status < http.StatusOK {
 		return
 	}
 	m.answers.WithLabelValues(strconv.Itoa(status)).Inc()
-	m.latency.WithLabelValues(kind).Observe(j.h.Timer.Now().Sub(j.received).Seconds())
+	m.latency.WithLabelValues(kind).Observe(req.h.Timer.Now().Sub(req.received).Seconds())
 }
 
-func (m *Metrics) broken() {
+func (m *Metrics) streamBroken() {
 	if m != nil {
-		m.brokenOff.Inc()
+		m.brokenStreams.Inc()
 	}
 }
 
 func (m *Metrics) firstEvent(d time.Duration) {
 	if m != nil {
-		m.first.Observe(d.Seconds())
+		m.firstEventLatency.Observe(d.Seconds())
 	}
 }
 
-func (m *Metrics) waited(d time.Duration) {
+func (m *Metrics) memoryWait(d time.Duration) {
 	if m != nil {
-		m.roomWaits.Observe(d.Seconds())
+		m.memoryWaits.Observe(d.Seconds())
 	}
 }
 
@@ -88,8 +89,8 @@
 	if m == nil {
 		return
 	}
-	m.gaps.Observe(gap.Seconds())
+	m.eventGaps.Observe(gap.Seconds())
 	if handover {
-		m.handovers.Observe(gap.Seconds())
+		m.handoverPauses.Observe(gap.Seconds())
 	}
 }
--- a/internal/serve/btentry/segment.go
+++ b/internal/serve/btentry/segment.go
@@ -15,52 +15,55 @@
 	"bramleytack/internal/upstream/btconn"
 )
 
-// pendingEvents is the number of events that a segment reads ahead.
-const pendingEvents = 32
+// readAheadItems is the number of items that a segment reads ahead of its relay.
+const readAheadItems = 32
 
-// item is what a segment hands over: a head, an event, or its end.
+// item is sent from a segment to its relay: the response header, an event, or the
+// end of the segment.
 type item struct {
-	head  *reply
+	head  *attemptResult
 	event btstream.Event
-	// ended is set on the last item; err is nil if the stream is complete.
+	// ended is set on the last item, which also has a head if the upstream did not
+	// open a stream. Without a head, err is nil if the stream is complete.
 	ended bool
 	err   error
 }
 
-// segment is the part of a stream that comes from one upstream.
+// segment is the part of a stream that one engine produces.
 type segment struct {
-	job      *job
-	upstream *bramleytack.Upstream
-	request  *btconn.Request
-	lease    *btaccount.Lease
-	copies   *btaccount.CopyLease
-	// backup is the engine that keeps a copy of the segment's memory.
+	req       *activeRequest
+	upstream  *bramleytack.Upstream
+	request   *btconn.Request
+	lease     *btaccount.Lease
+	copyLease *btaccount.CopyLease
+	// backup is the engine that keeps a copy of the generation's memory, or nil.
 	backup *bramleytack.Upstream
-	// origin says what the segment goes on from.
 	origin origin
 	need   btaccount.Need
 	items  chan item
 	cancel context.CancelFunc
-	// started is when the request was sent, eventAt when the last event came.
-	started time.Time
-	firstAt time.Time
-	eventAt time.Time
-	events  int
-	// copyName is the copy that the segment goes on from.
+	// started is when the segment began to send its request. lastEventAt equals it
+	// until the first event.
+	started      time.Time
+	firstEventAt time.Time
+	lastEventAt  time.Time
+	eventCount   int
+	// copyName names the copy that the segment continues from, if it does.
 	copyName string
-	// retries counts the repeats of a refused take-over.
+	// retries counts how often a rejected handover to this copy was repeated.
 	retries int
 }
 
-// origin says what a segment goes on from.
+// origin is the state that a segment continues from.
 type origin uint8
 
 const (
-	// fromStart segments are the first of their request.
+	// fromStart segments continue nothing.
 	fromStart origin = iota
-	// fromCopy segments go on from a copy of the generation's memory.
+	// fromCopy segments continue from a copy of the generation's memory.
 	fromCopy
-	// fromEvent segments run again after the last event.
+	// fromEvent segments run the request again and continue after the last event
+	// that the caller got.
 	fromEvent
 )
 
@@ -69,35 +72,35 @@
 // String returns the origin's name.
 func (o origin) String() string { return originNames[o] }
 
-// start sends the segment's request. Its items arrive in the order of the
-// stream.
-func (g *segment) start(ctx context.Context) {
-	ctx, g.cancel = context.WithCancel(ctx)
-	now := g.job.h.Timer.Now()
-	g.started, g.eventAt = now, now
-	g.items = make(chan item, pendingEvents)
-	g.lease = g.job.h.Accounts.Begin(g.upstream.ID, g.need)
-	if g.backup != nil {
-		g.copies = g.job.h.Accounts.BeginCopy(g.backup.ID, g.need)
+// start sends the segment's request in a new goroutine and enters the segment in
+// the upstreams' accounts. Its items arrive in stream order.
+func (seg *segment) start(ctx context.Context) {
+	ctx, seg.cancel = context.WithCancel(ctx)
+	now := seg.req.h.Timer.Now()
+	seg.started, seg.lastEventAt = now, now
+	seg.items = make(chan item, readAheadItems)
+	seg.lease = seg.req.h.Accounts.Begin(seg.upstream.ID, seg.need)
+	if seg.backup != nil {
+		seg.copyLease = seg.req.h.Accounts.BeginCopy(seg.backup.ID, seg.need)
 	}
-	go g.run(ctx)
+	go seg.run(ctx)
 }
 
-// run reads the response to its end.
-func (g *segment) run(ctx context.Context) {
-	r := &reply{upstream: g.upstream, outcome: bramleytack.Unknown}
-	x, err := g.job.open(ctx, g.upstream, g.request)
+// run sends the request and reads the response to its end.
+func (seg *segment) run(ctx context.Context) {
+	r := &attemptResult{upstream: seg.upstream, outcome: bramleytack.Unknown}
+	x, err := seg.req.open(ctx, seg.upstream, seg.request)
 	if err != nil {
-		g.put(ctx, item{head: r.fail(err), ended: true, err: err})
+		seg.send(ctx, item{head: r.fail(err), ended: true, err: err})
 		return
 	}
 	defer x.Close()
 	if x.StatusCode != http.StatusOK {
-		g.put(ctx, item{head: r.read(x, g.job.h.Dialect), ended: true})
+		seg.send(ctx, item{head: r.read(x, seg.req.h.Dialect), ended: true})
 		return
 	}
 	r.status, r.header, r.outcome = x.StatusCode, x.Header, bramleytack.Ran
-	if !g.put(ctx, item{head: r}) {
+	if !seg.send(ctx, item{head: r}) {
 		return
 	}
 	events := btstream.NewReader(x.Body)
@@ -105,38 +108,40 @@
 		e, err := events.Next()
 		switch {
 		case errors.Is(err, io.EOF):
-			g.put(ctx, item{ended: true})
+			seg.send(ctx, item{ended: true})
 			return
 		case err != nil:
-			g.put(ctx, item{ended: true, err: err})
+			seg.send(ctx, item{ended: true, err: err})
 			return
 		}
-		if !g.put(ctx, item{event: e}) {
+		if !seg.send(ctx, item{event: e}) {
 			return
 		}
 	}
 }
 
-func (g *segment) put(ctx context.Context, i item) bool {
+// send passes an item to the relay. It reports false if the segment was closed.
+func (seg *segment) send(ctx context.Context, i item) bool {
 	select {
-	case g.items <- i:
+	case seg.items <- i:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// close ends the segment. The engine drops a generation whose connection
-// closes.
-func (g *segment) close(o btaccount.Outcome) {
-	if g == nil || g.cancel == nil {
+// close ends the segment with an outcome for the upstream's health. It closes the
+// connection, which makes the engine stop the generation. Closing a nil or closed
+// segment has no effect.
+func (seg *segment) close(o btaccount.Outcome) {
+	if seg == nil || seg.cancel == nil {
 		return
 	}
-	g.cancel()
-	g.cancel = nil
-	g.lease.End(o)
-	g.copies.End()
-	j := g.job
-	j.log(btevent.SegmentEnded).Str("upstream", string(g.upstream.ID)).Stringer("origin", g.origin).
-		Stringer("health", o).Int("events", g.events).Dur("took", j.h.Timer.Now().Sub(g.started)).Send()
+	seg.cancel()
+	seg.cancel = nil
+	seg.lease.End(o)
+	seg.copyLease.End()
+	req := seg.req
+	req.log(btevent.SegmentEnded).Str("upstream", string(seg.upstream.ID)).Stringer("origin", seg.origin).
+		Stringer("health", o).Int("events", seg.eventCount).Dur("took", req.h.Timer.Now().Sub(seg.started)).Send()
 }
--- a/internal/serve/btentry/stream.go
+++ b/internal/serve/btentry/stream.go
@@ -14,98 +14,104 @@
 )
 
 const (
-	// backupOutput is the bound of output tokens from which a generation gets a
-	// copy. Shorter ones end before most failures could strike.
-	backupOutput = 60
-	// copyAge is the time after the first event at which the copy of a prompt
-	// has arrived at the backup engine.
-	copyAge = 1200 * time.Millisecond
-	// copyRetries and copyRetryPause bound the repeats of a take-over that was
-	// refused because the engine before had not noticed its end.
+	// minBackupOutput is the maximum of output tokens from which a generation gets a
+	// backup copy and is moved from a leaving engine. Shorter generations usually
+	// end before a failure can affect them.
+	minBackupOutput = 60
+	// backupReadyAfter is the time from the first event until the copy is assumed to
+	// be complete at the backup engine.
+	backupReadyAfter = 1200 * time.Millisecond
+	// copyRetries bounds the repeats of a handover to a copy that was rejected
+	// because the previous engine had not yet noticed the end of the generation.
 	copyRetries    = 1
 	copyRetryPause = 15 * time.Millisecond
-	// silenceShare is the share of the route's longest pause after which an
-	// engine that sends nothing is probed. The rest is left for the probe and
+	// silenceShare is the share of the route's maximum pause between events after
+	// which an engine that sends nothing is probed. The rest is for the probe and
 	// the first event from the copy.
 	silenceShare = 0.5
-	// leastSilence keeps engines with slow steps from being probed.
-	leastSilence = 80 * time.Millisecond
-	// overlap bounds the time in which two engines hold the same generation.
-	overlap = 300 * time.Millisecond
-	// firstEventShare is the share of the target latency after which a resumable
-	// stream without any event is sent to another engine, if the engine is also
-	// late by lateFactor of what was expected of it.
+	// minSilence keeps engines with long intervals between events from being
+	// probed.
+	minSilence = 80 * time.Millisecond
+	// maxOverlap bounds the time in which two engines run the same generation.
+	maxOverlap = 300 * time.Millisecond
+	// A resumable stream without any event is sent to another engine after this
+	// share of the target latency, but not before lateDelayFactor times the expected
+	// delay of its engine.
 	firstEventShare = 0.8
-	lateFactor      = 3
-	// growEvents is the number of events between two notes of a generation's size.
-	growEvents = 12
+	lateDelayFactor = 3
+	// growthReportEvents is the number of events between two updates of a
+	// generation's size in the engine's account.
+	growthReportEvents = 12
 )
 
-// relay is a stream on its way to the caller.
+// relay forwards an event stream to its caller, segment by segment. Only the
+// request's goroutine changes it; probes and moves report through channels.
 type relay struct {
-	j       *job
+	req     *activeRequest
 	ctx     context.Context
 	flusher http.Flusher
-	// cur is the segment that the caller reads, next the one that takes over.
+	// cur is the segment whose events the caller gets. next is the one that replaces
+	// it with its first event, or nil.
 	cur  *segment
 	next *segment
-	// head is the head of the first segment, sent with the first event.
-	head     *reply
-	headSent bool
-	last     uint64
-	eventAt  time.Time
-	tried    map[bramleytack.UpstreamID]bool
-	moved    chan moveResult
-	moving   bool
-	probed   chan probeResult
-	probing  bool
-	// firstAfter and longestPause describe what the caller sees.
-	firstAfter   time.Duration
-	longestPause time.Duration
-	// verdict is the last reply that can answer a caller who got no event.
-	verdict *reply
-	done    bool
+	// head is the first response header of an engine. It is sent to the caller with
+	// the first event.
+	head         *attemptResult
+	headSent     bool
+	lastEventID  uint64
+	lastEventAt  time.Time
+	tried        map[bramleytack.UpstreamID]bool
+	moveResults  chan moveResult
+	moving       bool
+	probeResults chan probeResult
+	probing      bool
+	// firstEventLatency and longestPause are measured as the caller sees them.
+	firstEventLatency time.Duration
+	longestPause      time.Duration
+	// finalResult is the result to answer with if the caller gets no event.
+	finalResult *attemptResult
+	done        bool
 }
 
 // stream serves a request whose response is an event stream.
-func (j *job) stream(ctx context.Context) {
-	flusher, _ := j.w.(http.Flusher)
-	s := &relay{j: j, ctx: ctx, flusher: flusher, tried: map[bramleytack.UpstreamID]bool{}, moved: make(chan moveResult, 1), probed: make(chan probeResult, 1)}
-	if v, err := strconv.ParseUint(j.header.Get(j.h.Dialect.LastEvent), 10, 64); err == nil {
-		s.last = v
+func (req *activeRequest) stream(ctx context.Context) {
+	flusher, _ := req.w.(http.Flusher)
+	s := &relay{req: req, ctx: ctx, flusher: flusher, tried: map[bramleytack.UpstreamID]bool{}, moveResults: make(chan moveResult, 1), probeResults: make(chan probeResult, 1)}
+	if v, err := strconv.ParseUint(req.header.Get(req.h.Dialect.LastEvent), 10, 64); err == nil {
+		s.lastEventID = v
 	}
 	defer s.close()
-	if !s.begin() {
-		s.giveUp()
+	if !s.startFirst() {
+		s.fail()
 		return
 	}
 	s.run()
 }
 
-// run relays until the stream has ended or failed.
+// run forwards events until the stream has ended or failed.
 func (s *relay) run() {
-	alarm := s.j.h.Timer.After(s.silence())
-	defer func() { alarm.Stop() }()
-	_, changed := s.j.h.Table.Current()
+	timer := s.req.h.Timer.After(s.silenceLimit())
+	defer func() { timer.Stop() }()
+	_, changed := s.req.h.Table.Current()
 	for !s.done {
 		select {
 		case i := <-s.cur.items:
-			s.take(s.cur, i)
+			s.handleItem(s.cur, i)
 		case i := <-s.nextItems():
-			s.take(s.next, i)
-		case m := <-s.moved:
-			s.takeMove(m)
-		case r := <-s.probed:
-			s.takeProbe(r)
+			s.handleItem(s.next, i)
+		case m := <-s.moveResults:
+			s.handleMove(m)
+		case r := <-s.probeResults:
+			s.handleProbe(r)
 		case <-changed:
-			_, changed = s.j.h.Table.Current()
+			_, changed = s.req.h.Table.Current()
 			s.checkLeaving()
-		case <-alarm.C():
+		case <-timer.C():
 			s.checkLeaving()
 			s.checkSilence()
-			alarm = s.j.h.Timer.After(s.silence())
+			timer = s.req.h.Timer.After(s.silenceLimit())
 		case <-s.ctx.Done():
-			s.giveUp()
+			s.fail()
 		}
 	}
 }
@@ -117,229 +123,234 @@
 	return s.next.items
 }
 
-// begin sends the first segment, and says whether there is an engine for it.
-func (s *relay) begin() bool {
-	started := s.j.h.Timer.Now()
-	u := s.j.awaitRoom(s.ctx, s.tried)
+// startFirst starts the first segment. It reports false if there is no engine for
+// it.
+func (s *relay) startFirst() bool {
+	started := s.req.h.Timer.Now()
+	u := s.req.awaitEngine(s.ctx, s.tried)
 	if u == nil {
 		return false
 	}
-	waited := s.j.h.Timer.Now().Sub(started)
-	s.j.h.Metrics.waited(waited)
+	waited := s.req.h.Timer.Now().Sub(started)
+	s.req.h.Metrics.memoryWait(waited)
 	s.tried[u.ID] = true
-	s.cur = s.segment(u, fromStart, "")
+	s.cur = s.newSegment(u, fromStart, "")
 	s.cur.start(s.ctx)
-	s.j.log(btevent.AttemptStarted).Str("upstream", string(u.ID)).Int("prompt", s.j.need.Prompt).
-		Int("output", s.j.need.Output).Str("backup", s.cur.backupName()).Dur("expected", s.j.expected).Dur("waited", waited).Uint64("version", s.j.s.Version).Send()
+	s.req.log(btevent.AttemptStarted).Str("upstream", string(u.ID)).Int("prompt", s.req.need.Prompt).
+		Int("output", s.req.need.Output).Str("backup", s.cur.backupName()).Dur("expected", s.req.expectedDelay).Dur("waited", waited).Uint64("version", s.req.snapshot.Version).Send()
 	return true
 }
 
-func (g *segment) backupName() string {
-	if g.backup == nil {
+func (seg *segment) backupName() string {
+	if seg.backup == nil {
 		return ""
 	}
-	return string(g.backup.ID)
+	return string(seg.backup.ID)
 }
 
-// segment prepares a request for an engine. The copy is empty unless the
-// segment goes on from one.
-func (s *relay) segment(u *bramleytack.Upstream, from origin, copyName string) *segment {
-	j, d := s.j, s.j.h.Dialect
-	g := &segment{job: j, upstream: u, origin: from, need: s.need(), copyName: copyName, request: j.request(u)}
-	g.need.Copied = from == fromCopy
-	if from != fromStart && (s.headSent || s.last > 0) {
-		g.request.Header.Set(d.LastEvent, strconv.FormatUint(s.last, 10))
+// newSegment returns a segment at u that has not been started. copyName is empty
+// unless the segment continues from a copy.
+func (s *relay) newSegment(u *bramleytack.Upstream, from origin, copyName string) *segment {
+	req, d := s.req, s.req.h.Dialect
+	seg := &segment{req: req, upstream: u, origin: from, need: s.remainingNeed(), copyName: copyName, request: req.upstreamRequest(u)}
+	seg.need.Copied = from == fromCopy
+	if from != fromStart && (s.headSent || s.lastEventID > 0) {
+		seg.request.Header.Set(d.LastEvent, strconv.FormatUint(s.lastEventID, 10))
 	}
 	if copyName != "" {
-		g.request.Header.Set(d.From, copyName)
+		seg.request.Header.Set(d.From, copyName)
 	}
-	profile := j.s.Engine(j.service)
-	if profile != nil && profile.Backups && j.need.MaxOutput >= backupOutput {
-		if g.backup = j.h.Accounts.PickBackup(j.s, u, g.need); g.backup != nil {
-			g.request.Header.Set(d.Backup, g.backup.Addr.String())
+	profile := req.snapshot.Engine(req.service)
+	if profile != nil && profile.Backups && req.need.MaxOutput >= minBackupOutput {
+		if seg.backup = req.h.Accounts.PickBackup(req.snapshot, u, seg.need); seg.backup != nil {
+			seg.request.Header.Set(d.Backup, seg.backup.Addr.String())
 		}
 	}
-	return g
+	return seg
 }
 
-// need returns what the rest of the stream takes of an engine.
-func (s *relay) need() btaccount.Need {
-	n := s.j.need
-	n.Generated = s.made()
+// remainingNeed returns what the rest of the generation needs of an engine.
+func (s *relay) remainingNeed() btaccount.Need {
+	n := s.req.need
+	n.Generated = s.tokensSent()
 	return n
 }
 
-// made returns the tokens that the caller has.
-func (s *relay) made() int {
-	if p := s.j.s.Engine(s.j.service); p != nil {
-		return int(s.last) * p.TokensPerEvent
+// tokensSent returns the number of tokens that the caller has got, by the id of the
+// last event.
+func (s *relay) tokensSent() int {
+	if p := s.req.snapshot.Engine(s.req.service); p != nil {
+		return int(s.lastEventID) * p.TokensPerEvent
 	}
 	return 0
 }
 
-// take handles an item of a segment.
-func (s *relay) take(g *segment, i item) {
-	if g.cancel == nil {
-		// Left over from a segment that was closed.
+// handleItem handles an item of a segment.
+func (s *relay) handleItem(seg *segment, i item) {
+	if seg.cancel == nil {
+		// The item was read before the segment was closed.
 		return
 	}
 	switch {
 	case i.head != nil && i.ended:
-		s.headFailed(g, i.head)
+		s.headFailed(seg, i.head)
 	case i.head != nil:
 		if s.head == nil {
 			s.head = i.head
 		}
 	case i.ended && i.err == nil:
-		s.complete(g)
+		s.complete(seg)
 	case i.ended:
-		s.broken(g, i.err)
+		s.segmentBroken(seg, i.err)
 	default:
-		s.deliver(g, i)
+		s.deliver(seg, i)
 	}
 }
 
-// deliver sends an event to the caller. The first event of the segment that
-// takes over ends the one before it.
-func (s *relay) deliver(g *segment, i item) {
-	now := s.j.h.Timer.Now()
-	g.eventAt = now
-	g.events++
-	if g.events == 1 {
-		g.lease.PrefillDone()
-		g.firstAt = now
+// deliver sends an event to the caller unless the caller has it already. The first
+// event of the next segment ends the current one.
+func (s *relay) deliver(seg *segment, i item) {
+	now := s.req.h.Timer.Now()
+	seg.lastEventAt = now
+	seg.eventCount++
+	if seg.eventCount == 1 {
+		seg.lease.PrefillDone()
+		seg.firstEventAt = now
 	}
-	if g == s.next {
+	if seg == s.next {
 		s.promote()
 	}
 	if i.event.HasID {
-		if s.headSent && i.event.ID <= s.last {
+		if s.headSent && i.event.ID <= s.lastEventID {
 			return
 		}
-		s.last = i.event.ID
+		s.lastEventID = i.event.ID
 	}
-	if g.events%growEvents == 0 {
-		g.lease.Grow(s.made())
+	if seg.eventCount%growthReportEvents == 0 {
+		seg.lease.Grow(s.tokensSent())
 	}
 	s.sendHead()
-	if _, err := s.j.w.Write(i.event.Raw); err != nil {
-		s.j.log(btevent.CallerLeft).Err(err).Uint64("lastEvent", s.last).Send()
+	if _, err := s.req.w.Write(i.event.Raw); err != nil {
+		s.req.log(btevent.CallerLeft).Err(err).Uint64("lastEvent", s.lastEventID).Send()
 		s.done = true
 		return
 	}
 	s.flusher.Flush()
-	pause := now.Sub(s.eventAt)
+	pause := now.Sub(s.lastEventAt)
 	s.longestPause = max(s.longestPause, pause)
-	s.j.h.Metrics.event(pause, g.origin != fromStart && g.events == 1)
-	s.eventAt = now
+	s.req.h.Metrics.event(pause, seg.origin != fromStart && seg.eventCount == 1)
+	s.lastEventAt = now
 }
 
+// sendHead sends the response header if it has not been sent.
 func (s *relay) sendHead() {
 	if s.headSent {
 		return
 	}
 	s.headSent = true
-	s.eventAt = s.j.h.Timer.Now()
-	copyHeader(s.j.w.Header(), s.head.header)
-	s.j.w.WriteHeader(s.head.status)
-	s.firstAfter = s.eventAt.Sub(s.j.received)
-	s.j.h.Metrics.firstEvent(s.firstAfter)
+	s.lastEventAt = s.req.h.Timer.Now()
+	copyHeader(s.req.w.Header(), s.head.header)
+	s.req.w.WriteHeader(s.head.status)
+	s.firstEventLatency = s.lastEventAt.Sub(s.req.received)
+	s.req.h.Metrics.firstEvent(s.firstEventLatency)
 }
 
-// promote lets the next segment take over.
+// promote makes the next segment the current one.
 func (s *relay) promote() {
 	old := s.cur
 	s.cur, s.next = s.next, nil
 	s.moving = false
 	old.close(btaccount.Abandoned)
-	s.j.log(btevent.StreamMoved).Str("from", string(old.upstream.ID)).Str("to", string(s.cur.upstream.ID)).
-		Stringer("origin", s.cur.origin).Uint64("lastEvent", s.last).Dur("pause", s.j.h.Timer.Now().Sub(s.eventAt)).Send()
+	s.req.log(btevent.StreamMoved).Str("from", string(old.upstream.ID)).Str("to", string(s.cur.upstream.ID)).
+		Stringer("origin", s.cur.origin).Uint64("lastEvent", s.lastEventID).Dur("pause", s.req.h.Timer.Now().Sub(s.lastEventAt)).Send()
 }
 
-// complete ends the response.
-func (s *relay) complete(g *segment) {
-	if g == s.next {
+// complete ends a response whose stream is complete.
+func (s *relay) complete(seg *segment) {
+	if seg == s.next {
 		s.promote()
 	}
 	s.sendHead()
 	s.done = true
-	g.close(btaccount.Served)
-	s.learn()
-	s.j.log(btevent.RequestAnswered).Str("upstream", string(g.upstream.ID)).Int("status", s.head.status).
-		Uint64("lastEvent", s.last).Dur("first", s.firstAfter).Dur("longestPause", s.longestPause).Send()
-	s.j.h.Metrics.answered(s.j, s.head.status)
+	seg.close(btaccount.Served)
+	s.learnLength()
+	s.req.log(btevent.RequestAnswered).Str("upstream", string(seg.upstream.ID)).Int("status", s.head.status).
+		Uint64("lastEvent", s.lastEventID).Dur("first", s.firstEventLatency).Dur("longestPause", s.longestPause).Send()
+	s.req.h.Metrics.responded(s.req, s.head.status)
 }
 
-// learn takes the length of a whole generation into the forecast.
-func (s *relay) learn() {
-	if s.j.need.MaxOutput > 0 && s.made() > 0 {
-		s.j.h.Lengths.Learn(s.j.route.Name, s.made())
+// learnLength adds the length of a complete generation to the forecast.
+func (s *relay) learnLength() {
+	if s.req.need.MaxOutput > 0 && s.tokensSent() > 0 {
+		s.req.h.Lengths.Learn(s.req.route.Name, s.tokensSent())
 	}
 }
 
-// headFailed handles a segment that brought no stream.
-func (s *relay) headFailed(g *segment, r *reply) {
-	s.j.logAttempt(r, g.started)
-	g.close(s.j.health(r))
-	if g == s.next {
+// headFailed handles a segment whose upstream did not open a stream.
+func (s *relay) headFailed(seg *segment, r *attemptResult) {
+	s.req.logAttempt(r, seg.started)
+	seg.close(s.req.health(r))
+	if seg == s.next {
 		s.next = nil
-		if !s.tryCopyAgain(g, r) {
+		if !s.retryCopy(seg, r) {
 			s.nextFailed()
 		}
 		return
 	}
-	if g.origin == fromStart {
-		s.startFailed(r)
+	if seg.origin == fromStart {
+		s.firstFailed(r)
 		return
 	}
-	s.recoverFrom(g, r.err)
+	s.recoverStream(seg, r.err)
 }
 
-// startFailed handles a first segment that brought no stream.
-func (s *relay) startFailed(r *reply) {
+// firstFailed tries another engine after the first segment opened no stream, and
+// ends the request if it may not.
+func (s *relay) firstFailed(r *attemptResult) {
 	if !r.unsent && !r.misdirected {
-		s.j.sends++
-		s.verdict = better(s.verdict, r)
+		s.req.attempts++
+		s.finalResult = betterResult(s.finalResult, r)
 	}
-	may := r.unsent && s.j.mayTryMore(len(s.tried))
-	if !r.unsent && len(s.tried) < maxUnsent && (r.misdirected || s.j.again(r)) {
-		may = s.j.h.Budget.Retry(s.j.service)
+	retry := r.unsent && s.req.maySkip(len(s.tried))
+	if !r.unsent && len(s.tried) < maxSkipped && (r.misdirected || s.req.mayRetry(r)) {
+		retry = s.req.h.Budget.Retry(s.req.service)
 	}
-	if may && s.begin() {
+	if retry && s.startFirst() {
 		return
 	}
-	s.giveUp()
+	s.fail()
 }
 
-// broken handles a stream that broke off.
-func (s *relay) broken(g *segment, err error) {
-	if g == s.next {
-		g.close(btaccount.Failed)
+// segmentBroken handles a segment that ended before its stream was complete.
+func (s *relay) segmentBroken(seg *segment, err error) {
+	if seg == s.next {
+		seg.close(btaccount.Failed)
 		s.next = nil
 		s.nextFailed()
 		return
 	}
-	g.close(btaccount.Failed)
-	s.recoverFrom(g, err)
+	seg.close(btaccount.Failed)
+	s.recoverStream(seg, err)
 }
 
-// giveUp ends the request without a whole response.
-func (s *relay) giveUp() {
+// fail ends the request without a complete stream. If the caller has got an event
+// and is still connected, it panics with http.ErrAbortHandler.
+func (s *relay) fail() {
 	s.done = true
-	j := s.j
+	req := s.req
 	switch {
 	case errors.Is(context.Cause(s.ctx), context.Canceled):
-		j.log(btevent.CallerLeft).Uint64("lastEvent", s.last).Send()
+		req.log(btevent.CallerLeft).Uint64("lastEvent", s.lastEventID).Send()
 	case s.headSent:
-		j.log(btevent.StreamBroken).Uint64("lastEvent", s.last).Dur("left", j.left()).Send()
-		j.h.Metrics.broken()
+		req.log(btevent.StreamBroken).Uint64("lastEvent", s.lastEventID).Dur("left", req.remaining()).Send()
+		req.h.Metrics.streamBroken()
 		s.close()
-		// Closes the connection without the end of the response.
+		// net/http closes the connection without ending the response.
 		panic(http.ErrAbortHandler)
 	case s.cur != nil && s.cur.cancel != nil:
-		j.refuse(http.StatusGatewayTimeout, 0, "timeout")
+		req.reject(http.StatusGatewayTimeout, 0, "timeout")
 	default:
-		j.finishCall(s.ctx, s.verdict)
+		req.respond(s.ctx, s.finalResult)
 	}
 }
 
@@ -348,7 +359,7 @@
 	s.next.close(btaccount.Abandoned)
 }
 
-// silence returns the pause after which the current engine is checked.
-func (s *relay) silence() time.Duration {
-	return max(time.Duration(silenceShare*float64(s.j.route.MaxPause)), leastSilence)
+// silenceLimit returns the time without events after which an engine is probed.
+func (s *relay) silenceLimit() time.Duration {
+	return max(time.Duration(silenceShare*float64(s.req.route.MaxPause)), minSilence)
 }
--- a/internal/serve/btstream/doc.go
+++ b/internal/serve/btstream/doc.go
@@ -1,8 +1,8 @@
 // Package btstream splits event streams into whole events.
 //
 // An upstream may stop in the middle of an event. A Reader returns only events
-// whose closing empty line has arrived, unchanged to the byte, so that a stream
-// can go on at another upstream after the last whole event.
+// whose closing empty line has arrived, byte for byte, so that another upstream
+// can continue the stream after the last whole event.
 //
 // # Usage
 //
--- a/internal/serve/btstream/reader.go
+++ b/internal/serve/btstream/reader.go
@@ -10,31 +10,34 @@
 )
 
 const (
-	// readerBuffer holds a few events of usual size.
-	readerBuffer = 4 << 10
-	// maxEvent bounds one event.
-	maxEvent = 1 << 20
+	// readBufferSize holds a few events of usual size.
+	readBufferSize = 4 << 10
+	// maxEventBytes bounds an event with a line longer than the read buffer.
+	maxEventBytes = 1 << 20
 )
 
-// ErrEventTooLong is returned for an event of more than 1 MiB.
-var ErrEventTooLong = errors.New("btstream: event is too long")
+// ErrEventTooLong is returned for an event of more than 1 MiB. The size is checked
+// only while a line longer than the read buffer of 4 KiB is read.
+var ErrEventTooLong = errors.New("btstream: event is longer than 1 MiB")
 
-// Event is one whole event.
+// Event is one event of an event stream.
 type Event struct {
 	// ID is the event's id. HasID reports whether the event has a numeric one.
 	ID    uint64
 	HasID bool
-	// Raw are the event's bytes with the closing empty line.
+	// Raw holds the event's bytes, including the closing empty line. It is not
+	// reused by later calls of Next.
 	Raw []byte
 }
 
-// Reader reads events.
+// Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	r *bufio.Reader
 }
 
-// NewReader returns a reader of the events in r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, readerBuffer)} }
+// NewReader returns a Reader of the events in r. It reads ahead of the events that
+// Next returns.
+func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, readBufferSize)} }
 
 // Next returns the next event. It returns io.EOF after the last one, and
 // io.ErrUnexpectedEOF if the stream ends inside an event.
@@ -42,7 +45,7 @@
 	var e Event
 	for {
 		start := len(e.Raw)
-		line, err := r.line(&e)
+		line, err := r.appendLine(&e)
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(e.Raw) > 0 {
 				err = io.ErrUnexpectedEOF
@@ -53,11 +56,12 @@
 		if len(text) == 0 && start > 0 {
 			return e, nil
 		}
-		e.readID(text)
+		e.parseID(text)
 	}
 }
 
-func (r *Reader) line(e *Event) ([]byte, error) {
+// appendLine reads one line, appends it to e.Raw and returns it with its line end.
+func (r *Reader) appendLine(e *Event) ([]byte, error) {
 	start := len(e.Raw)
 	for {
 		part, err := r.r.ReadSlice('\n')
@@ -67,13 +71,14 @@
 			return e.Raw[start:], nil
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
-		case len(e.Raw) > maxEvent:
+		case len(e.Raw) > maxEventBytes:
 			return nil, ErrEventTooLong
 		}
 	}
 }
 
-func (e *Event) readID(line []byte) {
+// parseID sets the event's id if the line is an id field.
+func (e *Event) parseID(line []byte) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
 		return
--- a/internal/serve/btstream/reader_test.go
+++ b/internal/serve/btstream/reader_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// readAll returns the events of a text and the error that ended it.
+// readAll returns the events of a stream and the error that ended it.
 func readAll(r io.Reader) ([]Event, error) {
 	reader := NewReader(r)
 	var events []Event
@@ -23,9 +23,9 @@
 	}
 }
 
-// Guards against events that are changed, joined or passed on in parts.
+// Guards against events that are changed, joined or returned incomplete.
 func TestReader(t *testing.T) {
-	long := "id: 3\ndata: " + strings.Repeat("x", 3*readerBuffer) + "\n\n"
+	long := "id: 3\ndata: " + strings.Repeat("x", 3*readBufferSize) + "\n\n"
 	cases := []struct {
 		name, text string
 		ids        []uint64
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against bytes that a reader loses or makes up.
+// Guards against a reader that drops or adds bytes.
 func FuzzReader(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\n")
 	f.Add("\n\n\nid: x\n\n")
@@ -66,10 +66,10 @@
 			joined += string(e.Raw)
 		}
 		if !strings.HasPrefix(text, joined) {
-			t.Fatalf("events %q are not the beginning of %q", joined, text)
+			t.Fatalf("events %q are not a prefix of %q", joined, text)
 		}
 		if errors.Is(err, io.EOF) && joined != text {
-			t.Fatalf("clean end after %q of %q", joined, text)
+			t.Fatalf("io.EOF after %q of %q", joined, text)
 		}
 	})
 }
