--- a/fleet.go
+++ b/fleet.go
@@ -14,14 +14,14 @@
 	KindConfig = "config"
 	// KindUpstreams holds what each upstream registers of itself.
 	KindUpstreams = "upstreams"
-	// KindOutages names the failure domains that are out of service.
-	KindOutages = "outages"
+	// KindEvacuations names the failure domains that are out of service.
+	KindEvacuations = "outages"
 	// KindDaemons holds the address of each daemon.
 	KindDaemons = "daemons"
 )
 
 // ReplicatedKinds are the kinds that every daemon holds.
-var ReplicatedKinds = []string{KindConfig, KindUpstreams, KindOutages}
+var ReplicatedKinds = []string{KindConfig, KindUpstreams, KindEvacuations}
 
 // ErrHistoryGone is returned for changes that the store no longer has.
 var ErrHistoryGone = errors.New("bramleytack: history of the store is gone")
--- a/internal/fleet/btreplica/table.go
+++ b/internal/fleet/btreplica/table.go
@@ -294,7 +294,7 @@
 
 func (t *Table) decodeDomains(s *bramleytack.Snapshot) {
 	s.FailureDomains = map[bramleytack.FailureDomainID]*bramleytack.FailureDomain{}
-	if k := t.kinds[bramleytack.KindOutages]; k != nil {
+	if k := t.kinds[bramleytack.KindEvacuations]; k != nil {
 		for name := range k.objects {
 			id := bramleytack.FailureDomainID(name)
 			s.FailureDomains[id] = &bramleytack.FailureDomain{Name: id, State: bramleytack.DomainOut}
--- a/internal/fleet/btreplica/table_test.go
+++ b/internal/fleet/btreplica/table_test.go
@@ -255,7 +255,7 @@
 		looks := 0
 		var contact StoreStatus
 		w := &Watcher{
-			Table: table, Timer: timer, Kind: bramleytack.KindOutages, StoreStatus: &contact, Resync: &Resync{},
+			Table: table, Timer: timer, Kind: bramleytack.KindEvacuations, StoreStatus: &contact, Resync: &Resync{},
 			Active: func(string) bool { looks++; return false },
 		}
 		ctx, stop := context.WithCancel(t.Context())
