--- a/btdaemon/placement.go
+++ b/btdaemon/placement.go
@@ -14,15 +14,15 @@
 // engine's role nor the age of its figures.
 func (d *Daemon) buildPlacement() {
 	d.placement = &btplace.Controller{
-		Cell:      d.settings.Cell,
-		Lease:     d.cluster.lease,
-		Store:     d.store,
-		Timer:     d.timers,
-		Snapshots: d.snapshots,
-		Upstreams: d.pool,
-		Mine:      func(u *bramleytack.Upstream) bool { return u.In(d.settings.Cell) },
-		Fenced:    func(err error) bool { return errors.Is(err, btupstream.ErrStaleFence) },
-		Notify:    d.ordered,
+		Cell:         d.settings.Cell,
+		Lease:        d.cluster.lease,
+		Store:        d.store,
+		Timer:        d.timers,
+		Snapshots:    d.snapshots,
+		Upstreams:    d.pool,
+		InCell:       func(u *bramleytack.Upstream) bool { return u.In(d.settings.Cell) },
+		IsStaleFence: func(err error) bool { return errors.Is(err, btupstream.ErrStaleFence) },
+		Notify:       d.ordered,
 	}
 }
 
@@ -34,7 +34,7 @@
 
 // ordered logs the end of an order.
 func (d *Daemon) ordered(e btplace.Event) {
-	o := e.Order
+	o := e.Command
 	d.log.Event(orderEvents[e.Kind]).Str("upstream", string(e.Upstream)).Uint64("fence", uint64(o.Fence)).
 		Str("kind", string(o.Kind)).Str("model", o.Model).Str("version", o.Version).Str("adapter", o.Adapter).
 		Str("role", o.Role).AnErr("error", e.Err).Send()
--- a/btplace/controller.go
+++ b/btplace/controller.go
@@ -92,10 +92,12 @@
 	Timer     bramleytack.Timer
 	Snapshots bramleytack.Snapshots
 	Upstreams bramleytack.Upstreams
-	// Mine says which upstreams belong to the cell. Nil takes all.
-	Mine func(*bramleytack.Upstream) bool
-	// Fenced says whether an engine's error is a refusal of the fencing number.
-	Fenced func(error) bool
+	// InCell reports whether an upstream belongs to the cell. Nil selects every
+	// upstream.
+	InCell func(*bramleytack.Upstream) bool
+	// IsStaleFence reports whether an engine's error says that it has seen a newer
+	// fencing token.
+	IsStaleFence func(error) bool
 	// Notify is told the end of each order, from several goroutines.
 	Notify func(Event)
 	Policy Policy
@@ -162,7 +164,7 @@
 func (c *Controller) engines() []*bramleytack.Upstream {
 	var list []*bramleytack.Upstream
 	for _, u := range c.Snapshots.Snapshot().Upstreams {
-		if u.Kind == bramleytack.KindEngine && (c.Mine == nil || c.Mine(u)) {
+		if u.Kind == bramleytack.KindEngine && (c.InCell == nil || c.InCell(u)) {
 			list = append(list, u)
 		}
 	}
--- a/btplace/event.go
+++ b/btplace/event.go
@@ -25,6 +25,6 @@
 type Event struct {
 	Kind     EventKind
 	Upstream bramleytack.UpstreamID
-	Order    bramleytack.Command
+	Command  bramleytack.Command
 	Err      error
 }
--- a/btplace/fleet_test.go
+++ b/btplace/fleet_test.go
@@ -317,7 +317,7 @@
 func (f *fleet) start(t *testing.T, l *link, lease Lease, store bramleytack.Store, times Times, policy Policy) *Controller {
 	c := &Controller{
 		Cell: "c", Lease: lease, Store: store, Timer: f.timer, Snapshots: f, Upstreams: l, Times: times, Policy: policy,
-		Fenced: func(err error) bool { return errors.Is(err, errOldFence) },
+		IsStaleFence: func(err error) bool { return errors.Is(err, errOldFence) },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/btplace/term.go
+++ b/btplace/term.go
@@ -337,7 +337,7 @@
 
 // sent records the end of an order.
 func (t *term) sent(e *engine, o bramleytack.Command, start time.Time, err error) {
-	ev := Event{Kind: Sent, Upstream: e.record.ID, Order: o, Err: err}
+	ev := Event{Kind: Sent, Upstream: e.record.ID, Command: o, Err: err}
 	now := t.Timer.Now()
 	a := attempt{order: o, at: now, err: err}
 	switch {
@@ -351,7 +351,7 @@
 	if err != nil {
 		ev.Kind = Failed
 	}
-	if err != nil && t.Fenced != nil && t.Fenced(err) {
+	if err != nil && t.IsStaleFence != nil && t.IsStaleFence(err) {
 		ev.Kind = Fenced
 		a.notBefore = now.Add(t.Times.Refused)
 	}
