--- a/btowner/held.go
+++ b/btowner/held.go
@@ -22,7 +22,7 @@
 // held is a reservation with the owner's bookkeeping.
 type held struct {
 	bramleytack.Reservation
-	mark       btramp.Mark
+	mark       btramp.Admission
 	granted    time.Time
 	validUntil time.Time
 	produced   int
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -294,7 +294,7 @@
 		u.paceOf(now, h, v)
 	}
 	service := u.record.Kind == bramleytack.KindService
-	u.ramp.End(now, h.mark, btramp.Sample{
+	u.ramp.End(now, h.mark, btramp.Result{
 		OK:           ran && (v.Tokens > 0 || service) && !h.proven,
 		Failed:       v.Failed,
 		FirstToken:   v.FirstToken,
--- a/btramp/doc.go
+++ b/btramp/doc.go
@@ -18,8 +18,8 @@
 //
 //	r := btramp.New(btramp.Config{Cold: u.ColdLimit, Warm: u.WarmLimit})
 //	r.Observe(now, report.Instance)
-//	if mark, ok := r.Admit(now, running, promptTokens); ok {
+//	if a, ok := r.Admit(now, running, promptTokens); ok {
 //		// run the request
-//		r.End(now, mark, btramp.Sample{OK: true, FirstToken: d})
+//		r.End(now, a, btramp.Result{OK: true, FirstToken: d})
 //	}
 package btramp
--- a/btramp/ramp.go
+++ b/btramp/ramp.go
@@ -115,15 +115,15 @@
 	return c
 }
 
-// Mark ties a request to the level at which it was admitted.
-type Mark struct {
+// Admission ties a request to the level at which it was admitted.
+type Admission struct {
 	epoch uint32
 	// full is set when the request ran above the level before this one.
 	full bool
 }
 
-// Sample is how a request ended.
-type Sample struct {
+// Result describes how a request ended.
+type Result struct {
 	// OK is set for a success, Failed for a failure of the upstream. A
 	// request that was never sent has neither.
 	OK     bool
@@ -261,9 +261,9 @@
 
 // Admit counts a request that starts beside running others, if both limits
 // allow it.
-func (r *Ramp) Admit(now time.Time, running, promptTokens int) (Mark, bool) {
+func (r *Ramp) Admit(now time.Time, running, promptTokens int) (Admission, bool) {
 	if running >= r.Limit() || r.Wait(now) > 0 {
-		return Mark{}, false
+		return Admission{}, false
 	}
 	if !r.Warm() {
 		r.bucket.take(now, r.rate(), float64(promptTokens))
@@ -271,12 +271,12 @@
 	if r.since.IsZero() {
 		r.since = now
 	}
-	return Mark{epoch: r.epoch, full: r.level == r.cfg.Cold || running+1 > r.level/2}, true
+	return Admission{epoch: r.epoch, full: r.level == r.cfg.Cold || running+1 > r.level/2}, true
 }
 
 // Progress counts a request as a success before its end, when the upstream
 // reports that it produces tokens.
-func (r *Ramp) Progress(now time.Time, m Mark) {
+func (r *Ramp) Progress(now time.Time, m Admission) {
 	if r.mode != Normal || m.epoch != r.epoch || !m.full || r.Warm() || r.pace.slow {
 		return
 	}
@@ -298,7 +298,7 @@
 }
 
 // End counts the end of a request.
-func (r *Ramp) End(now time.Time, m Mark, s Sample) {
+func (r *Ramp) End(now time.Time, m Admission, s Result) {
 	if s.Failed {
 		r.fail(now, m)
 		return
@@ -312,7 +312,7 @@
 	}
 }
 
-func (r *Ramp) fail(now time.Time, m Mark) {
+func (r *Ramp) fail(now time.Time, m Admission) {
 	if m.epoch == r.epoch {
 		r.successes = 0
 	}
--- a/btramp/ramp_test.go
+++ b/btramp/ramp_test.go
@@ -21,7 +21,7 @@
 		r := New(cfg)
 		now := start
 		type request struct {
-			mark   Mark
+			mark   Admission
 			resets int
 		}
 		var open []request
@@ -57,7 +57,7 @@
 				if len(open) == 0 {
 					return
 				}
-				s := Sample{OK: rapid.Bool().Draw(t, "ok")}
+				s := Result{OK: rapid.Bool().Draw(t, "ok")}
 				s.Failed = !s.OK
 				if s.OK && open[0].resets == resets && r.Mode() == Normal {
 					successes++
@@ -92,26 +92,26 @@
 		r.Observe(start, "a")
 		for i := range 10 {
 			now := start.Add(time.Duration(i) * 5 * time.Second)
-			serve(r, now, 16, Sample{OK: true, FirstToken: 50 * time.Millisecond})
+			serve(r, now, 16, Result{OK: true, FirstToken: 50 * time.Millisecond})
 		}
 		assert.Assert(t, r.Warm())
 		return r
 	}
 	t.Run("failures", func(t *testing.T) {
 		r := warm()
-		serve(r, start, 3, Sample{Failed: true})
+		serve(r, start, 3, Result{Failed: true})
 		assertReset(t, r, Failures)
 	})
 	t.Run("failures far apart", func(t *testing.T) {
 		r := warm()
 		for i := range 10 {
-			serve(r, start.Add(time.Duration(i)*time.Minute), 1, Sample{Failed: true})
+			serve(r, start.Add(time.Duration(i)*time.Minute), 1, Result{Failed: true})
 		}
 		assert.Assert(t, r.Warm())
 	})
 	t.Run("slow first tokens", func(t *testing.T) {
 		r := warm()
-		slow := Sample{OK: true, FirstToken: 3 * time.Second}
+		slow := Result{OK: true, FirstToken: 3 * time.Second}
 		serve(r, start, 3, slow)
 		assert.Assert(t, r.Warm())
 		queued := slow
@@ -126,15 +126,15 @@
 		for i := range 100 {
 			now := start.Add(time.Duration(i) * time.Second)
 			m, _ := r.Admit(now, 0, 0)
-			r.End(now, m, Sample{OK: true})
+			r.End(now, m, Result{OK: true})
 		}
 		assert.Equal(t, r.Level(), 2)
 	})
 	t.Run("many short requests do not shorten the dwell time", func(t *testing.T) {
 		r := New(Config{Cold: 1, Warm: 8})
-		serve(r, start, 100, Sample{OK: true})
+		serve(r, start, 100, Result{OK: true})
 		assert.Equal(t, r.Level(), 1)
-		serve(r, start.Add(5*time.Second), 100, Sample{OK: true})
+		serve(r, start.Add(5*time.Second), 100, Result{OK: true})
 		assert.Equal(t, r.Level(), 2)
 	})
 	t.Run("inherit", func(t *testing.T) {
@@ -152,7 +152,7 @@
 }
 
 // serve ends n requests, each admitted with the limit nearly reached.
-func serve(r *Ramp, now time.Time, n int, s Sample) {
+func serve(r *Ramp, now time.Time, n int, s Result) {
 	for range n {
 		m, _ := r.Admit(now, r.Limit()-1, 0)
 		r.End(now, m, s)
--- a/btramp/signals.go
+++ b/btramp/signals.go
@@ -75,7 +75,7 @@
 
 // slow takes a sample and says whether the last ones look like a cold start.
 // Slow samples do not move the average.
-func (l *latency) slow(s Sample, cfg Config) bool {
+func (l *latency) slow(s Result, cfg Config) bool {
 	v := s.FirstToken.Seconds() / float64(s.PromptTokens+promptOffset)
 	if l.samples >= latencyMin && s.FirstToken > cfg.SlowFloor && v > cfg.SlowFactor*l.usual {
 		l.row++
