--- a/btowner/report.go
+++ b/btowner/report.go
@@ -19,7 +19,7 @@
 		return
 	}
 	restarted := u.reported && r.Instance != u.report.Instance
-	u.ramp.Observe(now, r.Instance)
+	u.ramp.ObserveInstance(now, r.Instance)
 	u.pace(now, r)
 	u.report, u.reportAt, u.receivedAt, u.reported = r, at, now, true
 	if at.After(u.failedAt) {
@@ -59,7 +59,7 @@
 		}
 	}
 	if steps > 0 {
-		u.ramp.Pace(now, r.Running, span/time.Duration(steps))
+		u.ramp.ObserveStep(now, r.Running, span/time.Duration(steps))
 	}
 }
 
@@ -74,7 +74,7 @@
 		return
 	}
 	decoding := now.Sub(h.granted) - v.FirstToken
-	u.ramp.Pace(now, u.Running()+1, decoding/time.Duration(v.Tokens-1))
+	u.ramp.ObserveStep(now, u.Running()+1, decoding/time.Duration(v.Tokens-1))
 }
 
 // late says whether a report is older than the last one, by its age or, within
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -58,7 +58,7 @@
 
 func (u *Upstream) rampConfig() btramp.Config {
 	c := u.cfg.Ramp
-	c.Cold, c.Warm = u.record.ColdLimit, u.record.WarmLimit
+	c.ColdLimit, c.WarmLimit = u.record.ColdLimit, u.record.WarmLimit
 	return c
 }
 
--- a/btowner/upstream_test.go
+++ b/btowner/upstream_test.go
@@ -332,7 +332,7 @@
 	t.Run("in doubt a warm upstream gets what a cold one bears until a report", func(t *testing.T) {
 		u := newUpstream(4, 0)
 		u.record.ColdLimit = 2
-		u.ramp.Configure(btramp.Config{Cold: 2, Warm: 4})
+		u.ramp.Configure(btramp.Config{ColdLimit: 2, WarmLimit: 4})
 		assert.Equal(t, u.limit(start), 4)
 		u.MarkPossibleRestart(start)
 		assert.Equal(t, u.limit(start), 2)
@@ -466,7 +466,7 @@
 	u := NewUpstream(Config{WithoutReports: true}, now, record(8, 1<<20))
 	const usual, batch = 10 * time.Millisecond, 8
 	for range 16 {
-		u.ramp.Pace(now, batch, usual)
+		u.ramp.ObserveStep(now, batch, usual)
 	}
 	u.Configure(now, &bramleytack.Upstream{Kind: bramleytack.KindEngine, ColdLimit: 4, WarmLimit: 8, MemoryTokens: 1 << 20}, false)
 	u.ramp.Reset(now, btramp.Restarted)
--- a/btramp/doc.go
+++ b/btramp/doc.go
@@ -16,8 +16,8 @@
 //
 // # Usage
 //
-//	r := btramp.New(btramp.Config{Cold: u.ColdLimit, Warm: u.WarmLimit})
-//	r.Observe(now, report.Instance)
+//	r := btramp.New(btramp.Config{ColdLimit: u.ColdLimit, WarmLimit: u.WarmLimit})
+//	r.ObserveInstance(now, report.Instance)
 //	if a, ok := r.Admit(now, running, promptTokens); ok {
 //		// run the request
 //		r.End(now, a, btramp.Result{OK: true, FirstToken: d})
--- a/btramp/pace.go
+++ b/btramp/pace.go
@@ -78,22 +78,23 @@
 // reset it counts as slow until its pace shows otherwise.
 func (r *Ramp) Slow() bool { return r.pace.slow }
 
-// Pace takes the time of one decoding step beside running requests. A warm
-// upstream that is slow several times in a row has become cold. Below the warm
-// limit, successes do not count while the upstream is slow: an engine that is
-// still cold completes requests too, and dies when their number doubles.
-func (r *Ramp) Pace(now time.Time, running int, step time.Duration) {
-	if step <= 0 || r.cfg.PaceFactor < 0 {
+// ObserveStep takes the time of one decoding step while the given number of
+// requests run. Several slow steps in a row take a warm upstream back to base.
+// Below the warm limit, successes do not count while steps are slow: an engine
+// that is still cold completes requests too, and crashes when their number
+// doubles.
+func (r *Ramp) ObserveStep(now time.Time, running int, step time.Duration) {
+	if step <= 0 || r.cfg.SlowStepFactor < 0 {
 		return
 	}
 	p := &r.pace
-	p.judge(running, step.Seconds(), r.cfg.PaceFactor)
+	p.judge(running, step.Seconds(), r.cfg.SlowStepFactor)
 	if !r.Warm() {
 		return
 	}
 	if !p.slow {
 		p.learn(running, step.Seconds())
-	} else if p.row >= r.cfg.PaceCount {
+	} else if p.row >= r.cfg.SlowStepCount {
 		r.Reset(now, SlowPace)
 	}
 }
--- a/btramp/ramp.go
+++ b/btramp/ramp.go
@@ -65,53 +65,55 @@
 
 // Config holds the settings of a Ramp. Zero fields take defaults.
 type Config struct {
-	// Cold is the base and Warm the highest concurrency.
-	Cold int
-	Warm int
-	// TokensPerSlot is the rate of prompt tokens per second that goes with
-	// each unit of concurrency below the warm limit.
+	// ColdLimit is the concurrency at which the ramp starts, its base.
+	// WarmLimit is the highest concurrency.
+	ColdLimit int
+	WarmLimit int
+	// TokensPerSlot is the number of prompt tokens per second allowed for each
+	// unit of concurrency below the warm limit.
 	TokensPerSlot float64
-	// SuccessesPerSlot is the number of successes for each unit of
+	// SuccessesPerSlot is the number of successes required for each unit of
 	// concurrency before the limit doubles.
 	SuccessesPerSlot int
-	// Dwell is the shortest time at a level. Upstreams also warm up with
-	// time, and short requests succeed faster than that.
+	// Dwell is the shortest time at a level. Part of the warm-up takes time
+	// regardless of load, and many short requests can succeed sooner than that.
 	Dwell time.Duration
-	// Burst failures within Window take the ramp back to base.
-	Burst  int
-	Window time.Duration
-	// SlowFactor and SlowFloor define a slow first token: slower than the
-	// floor and than the factor times the usual latency. SlowCount of them in
-	// a row look like a cold start.
-	SlowFactor float64
-	SlowFloor  time.Duration
-	SlowCount  int
-	// PaceFactor times the usual step time is slow. PaceCount slow samples in
-	// a row look like a cold upstream. A negative factor ignores the pace.
-	PaceFactor float64
-	PaceCount  int
-	// PacedDwell stands in for Dwell, and PacedShare of the limit for
-	// SuccessesPerSlot, while the pace shows that the upstream is warm. A
-	// negative PacedDwell keeps Dwell and SuccessesPerSlot.
-	PacedDwell time.Duration
-	PacedShare float64
+	// FailureCount failures within FailureWindow take the ramp back to base.
+	FailureCount  int
+	FailureWindow time.Duration
+	// A first token is slow if its latency is above SlowFirstTokenFloor and
+	// above SlowFirstTokenFactor times the usual latency per prompt token.
+	// SlowFirstTokenCount of them in a row take the ramp back to base.
+	SlowFirstTokenFactor float64
+	SlowFirstTokenFloor  time.Duration
+	SlowFirstTokenCount  int
+	// A decoding step is slow if it takes longer than SlowStepFactor times the
+	// usual step time. SlowStepCount of them in a row take a warm upstream back
+	// to base. With a negative SlowStepFactor, step times are ignored.
+	SlowStepFactor float64
+	SlowStepCount  int
+	// NormalStepDwell replaces Dwell, and NormalStepSuccessShare of the limit
+	// replaces SuccessesPerSlot, while the usual step time is known and steps
+	// are not slow. A negative NormalStepDwell keeps Dwell and SuccessesPerSlot.
+	NormalStepDwell        time.Duration
+	NormalStepSuccessShare float64
 }
 
 func (c Config) withDefaults() Config {
-	c.Cold = max(c.Cold, 1)
-	c.Warm = max(c.Warm, c.Cold)
+	c.ColdLimit = max(c.ColdLimit, 1)
+	c.WarmLimit = max(c.WarmLimit, c.ColdLimit)
 	c.TokensPerSlot = cmp.Or(c.TokensPerSlot, 2048)
 	c.SuccessesPerSlot = cmp.Or(c.SuccessesPerSlot, 2)
 	c.Dwell = cmp.Or(c.Dwell, 5*time.Second)
-	c.Burst = cmp.Or(c.Burst, 3)
-	c.Window = cmp.Or(c.Window, 10*time.Second)
-	c.SlowFactor = cmp.Or(c.SlowFactor, 4)
-	c.SlowFloor = cmp.Or(c.SlowFloor, 500*time.Millisecond)
-	c.SlowCount = cmp.Or(c.SlowCount, 4)
-	c.PaceFactor = cmp.Or(c.PaceFactor, 1.8)
-	c.PaceCount = cmp.Or(c.PaceCount, 2)
-	c.PacedDwell = cmp.Or(c.PacedDwell, 1500*time.Millisecond)
-	c.PacedShare = cmp.Or(c.PacedShare, 0.25)
+	c.FailureCount = cmp.Or(c.FailureCount, 3)
+	c.FailureWindow = cmp.Or(c.FailureWindow, 10*time.Second)
+	c.SlowFirstTokenFactor = cmp.Or(c.SlowFirstTokenFactor, 4)
+	c.SlowFirstTokenFloor = cmp.Or(c.SlowFirstTokenFloor, 500*time.Millisecond)
+	c.SlowFirstTokenCount = cmp.Or(c.SlowFirstTokenCount, 4)
+	c.SlowStepFactor = cmp.Or(c.SlowStepFactor, 1.8)
+	c.SlowStepCount = cmp.Or(c.SlowStepCount, 2)
+	c.NormalStepDwell = cmp.Or(c.NormalStepDwell, 1500*time.Millisecond)
+	c.NormalStepSuccessShare = cmp.Or(c.NormalStepSuccessShare, 0.25)
 	return c
 }
 
@@ -160,8 +162,8 @@
 // New returns a ramp at its base.
 func New(cfg Config) *Ramp {
 	r := &Ramp{cfg: cfg.withDefaults()}
-	r.level = r.cfg.Cold
-	r.burst.size = r.cfg.Burst
+	r.level = r.cfg.ColdLimit
+	r.burst.size = r.cfg.FailureCount
 	return r
 }
 
@@ -172,8 +174,8 @@
 		return
 	}
 	r.cfg = cfg
-	r.burst.size = cfg.Burst
-	r.setLevel(min(max(r.level, cfg.Cold), cfg.Warm))
+	r.burst.size = cfg.FailureCount
+	r.setLevel(min(max(r.level, cfg.ColdLimit), cfg.WarmLimit))
 }
 
 // SetMode changes the mode.
@@ -186,10 +188,10 @@
 func (r *Ramp) Level() int { return r.level }
 
 // Base returns the concurrency that a started upstream bears.
-func (r *Ramp) Base() int { return r.cfg.Cold }
+func (r *Ramp) Base() int { return r.cfg.ColdLimit }
 
 // Warm says whether the upstream has earned its warm limit.
-func (r *Ramp) Warm() bool { return r.level >= r.cfg.Warm }
+func (r *Ramp) Warm() bool { return r.level >= r.cfg.WarmLimit }
 
 // Reason returns why and when the ramp last went back to base.
 func (r *Ramp) Reason() (Reason, time.Time) { return r.reason, r.resetAt }
@@ -210,10 +212,11 @@
 }
 
 // half returns what a cold upstream gets in Fallback.
-func (r *Ramp) half() int { return max(1, r.cfg.Cold/2) }
+func (r *Ramp) half() int { return max(1, r.cfg.ColdLimit/2) }
 
-// Observe takes an instance id from a load report. A new one is a restart.
-func (r *Ramp) Observe(now time.Time, id bramleytack.InstanceID) {
+// ObserveInstance takes the instance id of a load report. A change of the id is
+// a restart and resets the ramp; an empty id is ignored.
+func (r *Ramp) ObserveInstance(now time.Time, id bramleytack.InstanceID) {
 	if id == "" || id == r.instance {
 		return
 	}
@@ -234,7 +237,7 @@
 	if id == "" || id != r.instance || r.reason != Started || age > inheritAge {
 		return
 	}
-	if level = min(level/2, r.cfg.Warm); level > r.level {
+	if level = min(level/2, r.cfg.WarmLimit); level > r.level {
 		r.setLevel(level)
 	}
 }
@@ -246,8 +249,8 @@
 	r.latency = latency{}
 	r.bucket = bucket{}
 	r.pace.row = 0
-	r.pace.slow = r.pace.known() && r.cfg.PaceFactor > 0
-	r.setLevel(r.cfg.Cold)
+	r.pace.slow = r.pace.known() && r.cfg.SlowStepFactor > 0
+	r.setLevel(r.cfg.ColdLimit)
 }
 
 // Wait returns how long a prompt has to wait for the prompt token rate. The
@@ -271,7 +274,7 @@
 	if r.since.IsZero() {
 		r.since = now
 	}
-	return Admission{epoch: r.epoch, full: r.level == r.cfg.Cold || running+1 > r.level/2}, true
+	return Admission{epoch: r.epoch, full: r.level == r.cfg.ColdLimit || running+1 > r.level/2}, true
 }
 
 // Progress counts a request as a success before its end, when the upstream
@@ -283,7 +286,7 @@
 	r.successes++
 	successes, dwell := r.needed()
 	if r.successes >= successes && now.Sub(r.since) >= dwell {
-		r.setLevel(min(r.level*2, r.cfg.Warm))
+		r.setLevel(min(r.level*2, r.cfg.WarmLimit))
 	}
 }
 
@@ -291,10 +294,10 @@
 // pace is better evidence than the number of successes, and long requests
 // hold their places for longer than a level should last.
 func (r *Ramp) needed() (successes int, dwell time.Duration) {
-	if r.cfg.PaceFactor < 0 || r.cfg.PacedDwell < 0 || !r.pace.known() {
+	if r.cfg.SlowStepFactor < 0 || r.cfg.NormalStepDwell < 0 || !r.pace.known() {
 		return r.level * r.cfg.SuccessesPerSlot, r.cfg.Dwell
 	}
-	return max(1, int(float64(r.level)*r.cfg.PacedShare)), r.cfg.PacedDwell
+	return max(1, int(float64(r.level)*r.cfg.NormalStepSuccessShare)), r.cfg.NormalStepDwell
 }
 
 // End counts the end of a request.
@@ -316,7 +319,7 @@
 	if m.epoch == r.epoch {
 		r.successes = 0
 	}
-	if r.burst.add(now, r.cfg.Window) {
+	if r.burst.add(now, r.cfg.FailureWindow) {
 		r.Reset(now, Failures)
 	}
 }
--- a/btramp/ramp_test.go
+++ b/btramp/ramp_test.go
@@ -16,8 +16,8 @@
 // under any order of events, in any mode.
 func TestNeverOverEarnedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Cold: rapid.IntRange(1, 6).Draw(t, "cold"), TokensPerSlot: 100, Dwell: 1}
-		cfg.Warm = rapid.IntRange(cfg.Cold, 40).Draw(t, "warm")
+		cfg := Config{ColdLimit: rapid.IntRange(1, 6).Draw(t, "cold"), TokensPerSlot: 100, Dwell: 1}
+		cfg.WarmLimit = rapid.IntRange(cfg.ColdLimit, 40).Draw(t, "warm")
 		r := New(cfg)
 		now := start
 		type request struct {
@@ -29,16 +29,16 @@
 		// base x 2 or more successes since the last reset, of requests that
 		// began after it and ended in normal mode.
 		successes, instance, resets := 0, 0, 0
-		r.Observe(now, "0")
+		r.ObserveInstance(now, "0")
 		reset := func() { successes = 0; resets++ }
 		check := func() {
-			earned := cfg.Cold
-			for left := successes; left >= earned*2 && earned < cfg.Warm; earned *= 2 {
+			earned := cfg.ColdLimit
+			for left := successes; left >= earned*2 && earned < cfg.WarmLimit; earned *= 2 {
 				left -= earned * 2
 			}
-			earned = min(earned, cfg.Warm)
+			earned = min(earned, cfg.WarmLimit)
 			assert.Assert(t, r.Level() <= earned, "level %d, earned %d", r.Level(), earned)
-			half := max(1, cfg.Cold/2)
+			half := max(1, cfg.ColdLimit/2)
 			switch r.Mode() {
 			case Fallback:
 				assert.Assert(t, r.Warm() || r.Limit() == half)
@@ -71,9 +71,9 @@
 			},
 			"restart": func(*rapid.T) {
 				instance++
-				r.Observe(now, bramleytack.InstanceID(rune('0'+instance)))
+				r.ObserveInstance(now, bramleytack.InstanceID(rune('0'+instance)))
 				reset()
-				assert.Equal(t, r.Level(), cfg.Cold)
+				assert.Equal(t, r.Level(), cfg.ColdLimit)
 			},
 			"mode": func(t *rapid.T) { r.SetMode(Mode(rapid.IntRange(0, 2).Draw(t, "mode"))) },
 			"wait": func(t *rapid.T) {
@@ -88,8 +88,8 @@
 // one of the signals of a cold upstream.
 func TestSignals(t *testing.T) {
 	warm := func() *Ramp {
-		r := New(Config{Cold: 1, Warm: 8})
-		r.Observe(start, "a")
+		r := New(Config{ColdLimit: 1, WarmLimit: 8})
+		r.ObserveInstance(start, "a")
 		for i := range 10 {
 			now := start.Add(time.Duration(i) * 5 * time.Second)
 			serve(r, now, 16, Result{OK: true, FirstToken: 50 * time.Millisecond})
@@ -122,7 +122,7 @@
 		assertReset(t, r, SlowFirstToken)
 	})
 	t.Run("a trickle of requests proves only the level it reached", func(t *testing.T) {
-		r := New(Config{Cold: 1, Warm: 8})
+		r := New(Config{ColdLimit: 1, WarmLimit: 8})
 		for i := range 100 {
 			now := start.Add(time.Duration(i) * time.Second)
 			m, _ := r.Admit(now, 0, 0)
@@ -131,15 +131,15 @@
 		assert.Equal(t, r.Level(), 2)
 	})
 	t.Run("many short requests do not shorten the dwell time", func(t *testing.T) {
-		r := New(Config{Cold: 1, Warm: 8})
+		r := New(Config{ColdLimit: 1, WarmLimit: 8})
 		serve(r, start, 100, Result{OK: true})
 		assert.Equal(t, r.Level(), 1)
 		serve(r, start.Add(5*time.Second), 100, Result{OK: true})
 		assert.Equal(t, r.Level(), 2)
 	})
 	t.Run("inherit", func(t *testing.T) {
-		r := New(Config{Cold: 1, Warm: 8})
-		r.Observe(start, "a")
+		r := New(Config{ColdLimit: 1, WarmLimit: 8})
+		r.ObserveInstance(start, "a")
 		r.Inherit("b", 8, 0)
 		r.Inherit("a", 8, time.Minute)
 		assert.Equal(t, r.Level(), 1)
@@ -171,11 +171,11 @@
 func TestPaceShowsCold(t *testing.T) {
 	const warm, cold = 12 * time.Millisecond, 48 * time.Millisecond
 	now := time.Unix(0, 0)
-	r := New(Config{Cold: 2, Warm: 2})
+	r := New(Config{ColdLimit: 2, WarmLimit: 2})
 	for range 10 {
-		r.Pace(now, 8, warm)
+		r.ObserveStep(now, 8, warm)
 	}
-	r.Configure(Config{Cold: 2, Warm: 16})
+	r.Configure(Config{ColdLimit: 2, WarmLimit: 16})
 	earn := func() {
 		mark, ok := r.Admit(now, 1, 1)
 		assert.Assert(t, ok)
@@ -185,20 +185,20 @@
 		}
 	}
 	t.Run("no success while slow", func(t *testing.T) {
-		r.Pace(now, 2, cold)
+		r.ObserveStep(now, 2, cold)
 		earn()
 		assert.Equal(t, r.Level(), 2)
 	})
 	t.Run("success when fast", func(t *testing.T) {
-		r.Pace(now, 2, warm)
+		r.ObserveStep(now, 2, warm)
 		earn()
 		assert.Equal(t, r.Level(), 4)
 	})
 	t.Run("warm turns cold", func(t *testing.T) {
-		r.Configure(Config{Cold: 2, Warm: 4})
-		r.Pace(now, 4, cold)
+		r.Configure(Config{ColdLimit: 2, WarmLimit: 4})
+		r.ObserveStep(now, 4, cold)
 		assert.Equal(t, r.Level(), 4)
-		r.Pace(now, 4, cold)
+		r.ObserveStep(now, 4, cold)
 		assert.Equal(t, r.Level(), 2)
 		why, _ := r.Reason()
 		assert.Equal(t, why, SlowPace)
--- a/btramp/signals.go
+++ b/btramp/signals.go
@@ -77,9 +77,9 @@
 // Slow samples do not move the average.
 func (l *latency) slow(s Result, cfg Config) bool {
 	v := s.FirstToken.Seconds() / float64(s.PromptTokens+promptOffset)
-	if l.samples >= latencyMin && s.FirstToken > cfg.SlowFloor && v > cfg.SlowFactor*l.usual {
+	if l.samples >= latencyMin && s.FirstToken > cfg.SlowFirstTokenFloor && v > cfg.SlowFirstTokenFactor*l.usual {
 		l.row++
-		return l.row >= cfg.SlowCount
+		return l.row >= cfg.SlowFirstTokenCount
 	}
 	l.row = 0
 	l.samples++
--- a/internal/btbench/policy.go
+++ b/internal/btbench/policy.go
@@ -30,9 +30,9 @@
 
 // Earlier returns our earlier versions, oldest first.
 func Earlier() []Policy {
-	v1 := btowner.Config{Ramp: btramp.Config{PaceFactor: -1}, MemoryZScore: 2.33, AnyLengthWhenCold: true, StepsBetweenPrompts: -1}
-	v2 := btowner.Config{MemoryZScore: 2.33, AnyLengthWhenCold: true, StepsBetweenPrompts: -1, Ramp: btramp.Config{PacedDwell: -1}}
-	steady := btramp.Config{PacedDwell: -1}
+	v1 := btowner.Config{Ramp: btramp.Config{SlowStepFactor: -1}, MemoryZScore: 2.33, AnyLengthWhenCold: true, StepsBetweenPrompts: -1}
+	v2 := btowner.Config{MemoryZScore: 2.33, AnyLengthWhenCold: true, StepsBetweenPrompts: -1, Ramp: btramp.Config{NormalStepDwell: -1}}
+	steady := btramp.Config{NormalStepDwell: -1}
 	v3 := btowner.Config{AnyLengthWhenCold: true, StepsBetweenPrompts: -1, Ramp: steady}
 	v4 := btowner.Config{StepsBetweenPrompts: -1, Ramp: steady}
 	v5 := btowner.Config{StepsBetweenPrompts: -1}
