--- a/engine.go
+++ b/engine.go
@@ -17,7 +17,7 @@
 	Workspace WorkspaceID `json:"workspace"`
 }
 
-// StreamEvent is one event of an engine's stream: a token, or the end.
+// StreamEvent is one event of an engine's stream: a token or the completion.
 type StreamEvent struct {
 	Stream StreamID
 	Token  Token
@@ -28,14 +28,15 @@
 
 // Stream is a running generation as one reader sees it.
 type Stream interface {
-	// Next returns the next event. Its errors carry an Outcome. An event that
-	// belongs to another request is an error, never returned.
+	// Next returns the next event. Its errors carry an Outcome. It returns an
+	// error instead of an event that belongs to another request.
 	Next(ctx context.Context) (StreamEvent, error)
-	// Close ends the reading. The generation goes on unless it is canceled.
+	// Close stops reading. The generation continues unless it is canceled.
 	Close() error
 }
 
-// LoadReport is what an engine or a service reports of its load. It lags.
+// LoadReport is the load that an engine or a service reports. It lags behind the
+// actual load.
 type LoadReport struct {
 	Instance InstanceID `json:"instance"`
 	// At is the time that the figures describe, by the upstream's clock.
@@ -45,9 +46,11 @@
 	Running int           `json:"running"`
 	Waiting int           `json:"waiting"`
 	// MemoryUsed and MemoryTotal count tokens of key-value cache.
-	MemoryUsed  int               `json:"memoryUsed"`
-	MemoryTotal int               `json:"memoryTotal"`
-	Preemptions int               `json:"preemptions"`
+	MemoryUsed  int `json:"memoryUsed"`
+	MemoryTotal int `json:"memoryTotal"`
+	Preemptions int `json:"preemptions"`
+	// Fence is the highest fencing token of the engine's commands so far. It stays
+	// 0 if the engine does not check the tokens.
 	Fence       Fence             `json:"fence"`
 	Role        string            `json:"role,omitempty"`
 	Leaving     bool              `json:"leaving,omitempty"`
@@ -55,7 +58,7 @@
 	Generations []GenerationState `json:"generations,omitempty"`
 }
 
-// LoadedModel is a model version that an engine holds.
+// LoadedModel is a model version in an engine's memory.
 type LoadedModel struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -69,15 +72,16 @@
 	Tokens  int       `json:"tokens"`
 }
 
-// CacheEvent says that an engine cached or evicted a prompt prefix.
+// CacheEvent reports that an engine cached or evicted a prompt prefix.
 type CacheEvent struct {
 	// Sequence counts an engine's events. A gap means that events were lost.
 	Sequence uint64 `json:"sequence"`
-	Prefix   uint64 `json:"prefix"`
-	Evicted  bool   `json:"evicted,omitempty"`
+	// Prefix is the hash of the prefix.
+	Prefix  uint64 `json:"prefix"`
+	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// CommandKind says what a command asks of an engine.
+// CommandKind is what a command makes an engine do.
 type CommandKind string
 
 // The kinds of commands.
@@ -87,7 +91,8 @@
 	CommandRole   CommandKind = "role"
 )
 
-// Command tells an engine to change what it holds or its role.
+// Command tells an engine to load or unload a model version or to change its
+// role.
 type Command struct {
 	Fence   Fence       `json:"fence"`
 	Kind    CommandKind `json:"kind"`
@@ -100,15 +105,19 @@
 // Engine is the protocol of a model engine.
 type Engine interface {
 	// Start begins a generation. An error with NotRun means that the engine
-	// did not take the request.
+	// did not accept the request.
 	Start(ctx context.Context, r GenerationRequest) (Stream, error)
 	// Resume reads a generation again from a token index.
 	Resume(ctx context.Context, id StreamID, from int) (Stream, error)
+	// Cancel ends a generation.
 	Cancel(ctx context.Context, id StreamID) error
+	// Load returns the engine's load report.
 	Load(ctx context.Context) (LoadReport, error)
 	// CacheEvents returns events after a sequence number.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
-	Command(ctx context.Context, o Command) error
+	// Command sends a command. An engine that checks fencing tokens rejects it if
+	// it has seen a higher token.
+	Command(ctx context.Context, c Command) error
 }
 
 // ServiceCall is one call of a plain service.
--- a/error.go
+++ b/error.go
@@ -11,7 +11,7 @@
 // Code classifies an Error for callers.
 type Code string
 
-// The codes of errors that callers see.
+// The codes of errors in responses to callers.
 const (
 	CodeBadRequest      Code = "badRequest"
 	CodeBodyTooLarge    Code = "bodyTooLarge"
@@ -30,12 +30,13 @@
 	CodeQuarantined     Code = "quarantined"
 	CodeIncomplete      Code = "incomplete"
 	CodeUpstreamFailed  Code = "upstreamFailed"
-	CodeIsolated        Code = "isolated"
-	CodeShuttingDown    Code = "shuttingDown"
-	CodeStarting        Code = "starting"
-	CodeConflict        Code = "conflict"
-	CodeStoreDown       Code = "storeUnavailable"
-	CodeInternal        Code = "internal"
+	// CodeIsolated means that the daemon reaches neither the store nor a peer.
+	CodeIsolated     Code = "isolated"
+	CodeShuttingDown Code = "shuttingDown"
+	CodeStarting     Code = "starting"
+	CodeConflict     Code = "conflict"
+	CodeStoreDown    Code = "storeUnavailable"
+	CodeInternal     Code = "internal"
 )
 
 var codeStatus = map[Code]int{
@@ -50,7 +51,7 @@
 	CodeOverloaded:      http.StatusServiceUnavailable,
 	CodeNoUpstream:      http.StatusServiceUnavailable,
 	CodeTimeout:         http.StatusGatewayTimeout,
-	CodeCanceled:        499,
+	CodeCanceled:        499, // nginx's status for requests that the client closed
 	CodeKeyReused:       http.StatusUnprocessableEntity,
 	CodeInProgress:      http.StatusConflict,
 	CodeQuarantined:     http.StatusUnprocessableEntity,
@@ -77,7 +78,8 @@
 	Code    Code
 	Outcome Outcome
 	Message string
-	// RetryAfter is the earliest useful time for a repeat. Zero gives no advice.
+	// RetryAfter is the delay after which a repeat may succeed. Zero means that
+	// none is known.
 	RetryAfter time.Duration
 	// Cause is the underlying error. It is logged, never sent to callers.
 	Cause error
@@ -95,7 +97,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy of the error that advises a repeat after d.
+// WithRetryAfter returns a copy of the error with d as its RetryAfter.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
--- a/filter.go
+++ b/filter.go
@@ -2,8 +2,10 @@
 
 import "context"
 
-// Handler handles a request to its end.
+// Handler handles a request.
 type Handler interface {
+	// Handle returns when the request has ended. An error that carries no Outcome
+	// counts as Unknown.
 	Handle(ctx context.Context, r *Request, w ResponseWriter) error
 }
 
@@ -15,8 +17,8 @@
 	return f(ctx, r, w)
 }
 
-// Filter does one step of a request and passes the request on to next. It may
-// call next more than once, or not at all.
+// Filter handles one aspect of a request and passes the request on to next. It
+// may call next more than once, or not at all.
 type Filter interface {
 	Handle(ctx context.Context, r *Request, w ResponseWriter, next Handler) error
 }
--- a/finding.go
+++ b/finding.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Severity says whether a finding makes what was checked invalid.
+// Severity tells errors from warnings.
 type Severity uint8
 
 // The severities.
 const (
-	// Invalid findings keep a file or a record from being accepted.
+	// Invalid marks an error, which makes the file or record unacceptable.
 	Invalid Severity = iota
-	// Warning findings point at fields that have no effect.
+	// Warning marks a field that has no effect.
 	Warning
 )
 
@@ -32,7 +32,7 @@
 // MarshalText returns the severity's name.
 func (s Severity) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the severity's name. Other names give Invalid.
+// UnmarshalText reads the severity's name. Unknown names give Invalid.
 func (s *Severity) UnmarshalText(text []byte) error {
 	*s = Invalid
 	if string(text) == Warning.String() {
@@ -41,23 +41,23 @@
 	return nil
 }
 
-// Finding is one fault of a file or a record, with its place.
+// Finding is one problem in a file or a record, with its location.
 type Finding struct {
-	// File is the file's name, or where else the value came from.
+	// File is the file's name, or another source of the value.
 	File string `json:"file,omitempty"`
 	// Line counts from 1. Zero means that the value has no line.
 	Line int `json:"line,omitempty"`
-	// Record is the kind and the name of the record, as far as they are known.
+	// Record is the kind and the name of the record, if they are known.
 	Record string `json:"record,omitempty"`
 	// Path is the field's path, such as spec.limits.concurrency.
 	Path    string `json:"path,omitempty"`
 	Message string `json:"message"`
-	// Allowed says what the field may hold.
+	// Allowed describes the valid values of the field.
 	Allowed  string   `json:"allowed,omitempty"`
 	Severity Severity `json:"severity"`
 }
 
-// String returns the finding on one line, place first.
+// String returns the finding on one line, starting with its location.
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -83,7 +83,7 @@
 	return b.String()
 }
 
-// Findings are all faults of one check, reported together.
+// Findings are the problems that one check found, reported together.
 type Findings []Finding
 
 // Error returns the findings, one a line.
@@ -110,9 +110,9 @@
 	return invalid
 }
 
-// PrintError prints an error after the program's name, or each finding on a
-// line of its own. A stream that cannot be written to is ignored: there is
-// nowhere left to say so.
+// PrintError prints an error after the program's name. If the error is Findings,
+// it prints each finding on a line of its own instead. Write errors are ignored,
+// since there is no other place to report them.
 func PrintError(w io.Writer, program string, err error) {
 	var found Findings
 	if !errors.As(err, &found) {
--- a/generation.go
+++ b/generation.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// GenerationRef identifies a running generation, so that any entry can resume
+// GenerationRef identifies a running generation, so that any daemon can resume
 // or cancel it.
 type GenerationRef struct {
 	Upstream  UpstreamID
@@ -16,7 +16,7 @@
 	Workspace WorkspaceID
 	Model     string
 	Version   string
-	// Expires is when the reference ends to be valid, to the second.
+	// Expires is the end of the reference's validity, in whole seconds.
 	Expires time.Time
 }
 
--- a/identity.go
+++ b/identity.go
@@ -18,10 +18,10 @@
 // UpstreamID names an upstream. It stays the same across its restarts.
 type UpstreamID string
 
-// InstanceID names one run of an upstream process. It changes on each restart.
+// InstanceID names one start-up of an upstream. It changes on each restart.
 type InstanceID string
 
-// RequestID names one request as the system received it.
+// RequestID names one request, or one attempt of it.
 type RequestID string
 
 // StreamID names one generation on one engine.
@@ -30,8 +30,8 @@
 // GrantID names one reservation of an upstream's capacity.
 type GrantID string
 
-// Revision counts the changes of the platform's store. It only rises.
+// Revision counts the changes in the platform's store. It never decreases.
 type Revision uint64
 
-// Fence is the fencing number of a lease. A later holder has a higher one.
+// Fence is the fencing token of a lease. A later holder has a higher one.
 type Fence uint64
--- a/outcome.go
+++ b/outcome.go
@@ -1,9 +1,9 @@
 package bramleytack
 
-// Outcome says what is known about the execution of a request.
+// Outcome is what is known about the execution of a request.
 type Outcome uint8
 
-// The outcomes of a request. The zero value claims nothing.
+// The outcomes of a request. The zero value is Unknown.
 const (
 	// Unknown means that the request may have run.
 	Unknown Outcome = iota
@@ -24,7 +24,7 @@
 }
 
 // ParseOutcome returns the outcome named s. Other names give Unknown, the
-// outcome that promises nothing.
+// outcome that guarantees nothing.
 func ParseOutcome(s string) Outcome {
 	for i, name := range outcomeNames {
 		if name == s {
--- a/priority.go
+++ b/priority.go
@@ -1,15 +1,15 @@
 package bramleytack
 
-// Priority orders requests that wait for the same capacity.
+// Priority ranks requests that wait for the same capacity.
 type Priority uint8
 
 // The priorities, lowest first.
 const (
-	// Batch work fills capacity that nothing else uses.
+	// Batch requests use capacity that no other requests need.
 	Batch Priority = iota
-	// Standard is the priority of requests that name none.
+	// Standard is the priority of requests that specify none.
 	Standard
-	// Interactive work has a person waiting for it.
+	// Interactive requests have a person waiting for the response.
 	Interactive
 )
 
@@ -26,7 +26,8 @@
 	return priorityNames[Standard]
 }
 
-// ParsePriority returns the priority named s and whether there is one.
+// ParsePriority returns the priority named s, or Standard and false if there is
+// none.
 func ParsePriority(s string) (Priority, bool) {
 	for i, name := range priorityNames {
 		if name == s {
--- a/request.go
+++ b/request.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kind says what a request asks for.
+// Kind is what a request asks for.
 type Kind uint8
 
 // The kinds of requests.
@@ -34,8 +34,8 @@
 }
 
 // Request is one request of a caller. The front fills in what the caller
-// sent, later filters add what they decide. A request belongs to the goroutine
-// that handles it.
+// sent, later filters add their decisions. Only the goroutine that handles a
+// request may use it.
 type Request struct {
 	ID       RequestID
 	Kind     Kind
@@ -62,15 +62,16 @@
 	Query   string
 	Header  http.Header
 	Body    []byte
-	// IdempotencyKey marks all sendings of one Call. It may be empty.
+	// IdempotencyKey is the same whenever a caller repeats a Call. It may be empty.
 	IdempotencyKey string
 
-	// Suspect is set for a request that may have crashed an upstream. It runs
-	// alone.
+	// Suspect is set if the request may have crashed an upstream. It then runs
+	// alone on its upstream.
 	Suspect bool
 	// Target is the upstream that the route filter chose for this attempt.
 	Target Target
-	// Attempt counts the upstreams that the request was offered to, from 1.
+	// Attempt is the number of the current attempt, from 1. Attempts whose
+	// reservation was rejected count too.
 	Attempt int
 }
 
@@ -78,12 +79,12 @@
 type Target struct {
 	Upstream *Upstream
 	Grant    Grant
-	// Version and Adapter are what the attempt asks for.
+	// Version and Adapter are those of the model that the attempt asks for.
 	Version string
 	Adapter string
 }
 
-// Fingerprint identifies the content of a request across its repeats.
+// Fingerprint identifies the content of a request. Repeats have the same one.
 type Fingerprint [sha256.Size]byte
 
 // String returns the fingerprint in hexadecimal.
@@ -97,7 +98,8 @@
 		string(r.Workspace), r.Kind.String(), r.Model, r.Prompt,
 		r.Service, r.Method, r.Path, r.Query, string(r.Body),
 	} {
-		// A length prefix keeps neighbouring parts from running together.
+		// The length prefix separates parts: without it, "ab", "c" and "a", "bc"
+		// would have the same hash.
 		var n [8]byte
 		for i, v := 0, uint64(len(part)); i < len(n); i, v = i+1, v>>8 {
 			n[i] = byte(v)
@@ -110,14 +112,15 @@
 	return f
 }
 
-// AttemptID names the current attempt to upstreams and owners. Each attempt has
-// an id of its own, so that the answers and the load reports of two attempts
-// never mix.
+// AttemptID returns the id by which upstreams and owners know the current
+// attempt. Each attempt has its own, so that responses and load reports of
+// different attempts cannot be confused.
 func (r *Request) AttemptID() RequestID {
 	return RequestID(fmt.Sprintf("%s.%d", r.ID, r.Attempt))
 }
 
-// PromptTokens estimates the tokens of the prompt at four bytes a token.
+// PromptTokens estimates the number of tokens in the prompt at four bytes a
+// token.
 func (r *Request) PromptTokens() int {
 	const bytesPerToken = 4
 	return (len(r.Prompt) + bytesPerToken - 1) / bytesPerToken
--- a/reply.go
+++ b/response.go
@@ -8,16 +8,16 @@
 	Text  string
 }
 
-// Opening announces a generation before its first token.
+// Opening is the start of a generation's response, before the first token.
 type Opening struct {
 	RequestID RequestID
 	Model     string
 	Version   string
-	// GenerationToken lets the caller resume the generation at any entry.
+	// GenerationToken lets the caller resume the generation through any daemon.
 	GenerationToken string
 }
 
-// Completion ends a generation.
+// Completion is the end of a generation's response.
 type Completion struct {
 	FinishReason string
 	// PromptTokens and Tokens are the counts that the engine reported.
@@ -25,15 +25,15 @@
 	Tokens       int
 }
 
-// Response is the answer of a plain service.
+// Response is the HTTP response of a plain service.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// ResponseWriter receives the answer to a request. A generation is answered by one
-// Open, its tokens in order and one Close; a call by one Respond. An error
+// ResponseWriter receives the response to a request. A generation is answered by
+// one Open, its tokens in order and one Close; a call by one Respond. An error
 // means that the caller can no longer be reached.
 type ResponseWriter interface {
 	Open(Opening) error
--- a/routes.go
+++ b/routes.go
@@ -9,13 +9,14 @@
 
 // EngineProfile describes the model engines of a service.
 type EngineProfile struct {
-	// Slots is the batch size, MemoryTokens the key-value cache in tokens.
+	// Slots is the batch size, MemoryTokens the size of the key-value cache in
+	// tokens.
 	Slots        int
 	MemoryTokens int
 	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
-	// Moves says that the engine can move a running generation to another
-	// engine, Backups that it can keep a copy of one there.
+	// Moves is set if engines can move a running generation to another engine,
+	// Backups if they can keep a copy of one there.
 	Moves   bool
 	Backups bool
 }
@@ -26,48 +27,50 @@
 	Weight  int
 }
 
-// Route says how requests of one host and path prefix are served.
+// Route configures how requests for one host name and path prefix are served.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
-	// Streaming responses are event streams. Resumable ones may go on at another
-	// upstream after an event id.
+	// Streaming is set if the responses are event streams, Resumable if a stream
+	// can continue at another upstream after a given event id.
 	Streaming bool
 	Resumable bool
-	// Idempotent requests may run more than once.
+	// Idempotent is set if requests may run more than once.
 	Idempotent bool
 	// Timeout bounds the time from the request to the end of its response.
 	Timeout time.Duration
-	// TargetLatency is the time to the response, or to its first event, and
-	// MaxPause the time between events within which a response is on time.
+	// A response is on time if it, or its first event, comes within TargetLatency
+	// and no pause between events exceeds MaxPause.
 	TargetLatency time.Duration
 	MaxPause      time.Duration
-	// Urgency is the rank of the requests, 0 first.
+	// Urgency ranks the requests. 0 is the most urgent.
 	Urgency int
 	// Services share the requests by weight.
 	Services []ServiceShare
-	// MaxAttempts is the number of upstreams that one request may be sent to.
+	// MaxAttempts is the number of upstreams to which one request may be sent.
 	MaxAttempts int
-	// Public requests need no API key.
+	// Public is set if requests need no API key.
 	Public bool
 }
 
-// Repeatable says whether a request may run again after an unknown outcome.
+// Repeatable reports whether a request may run again after an unknown outcome.
 func (r *Route) Repeatable() bool { return r.Idempotent || r.Streaming && r.Resumable }
 
-// Service returns the service for a point in [0, 1) of the shares.
+// Service returns the service whose share of the weights contains at, a number
+// in [0, 1). If no weight is positive, it returns the first service, or "" if
+// there is none.
 func (r *Route) Service(at float64) string {
 	total := 0
 	for _, s := range r.Services {
 		total += max(s.Weight, 0)
 	}
-	rest := at * float64(total)
+	offset := at * float64(total)
 	for _, s := range r.Services {
 		if s.Weight <= 0 {
 			continue
 		}
-		if rest -= float64(s.Weight); rest < 0 {
+		if offset -= float64(s.Weight); offset < 0 {
 			return s.Service
 		}
 	}
@@ -77,7 +80,7 @@
 	return r.Services[0].Service
 }
 
-// RequestLimits bound what a caller may send.
+// RequestLimits limit callers' requests and connections.
 type RequestLimits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -105,8 +108,8 @@
 	return t
 }
 
-// Find returns the route of the host with the longest prefix of the path, or
-// nil. The host may carry a port, the path is as sent.
+// Find returns the route of the host name with the longest matching path prefix,
+// or nil. The host may include a port. The path is matched as it was sent.
 func (t *RouteTable) Find(host, path string) *Route {
 	if t == nil {
 		return nil
--- a/snapshot.go
+++ b/snapshot.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// UpstreamKind says which protocol an upstream speaks.
+// UpstreamKind is the protocol of an upstream.
 type UpstreamKind string
 
 // The kinds of upstreams.
@@ -14,77 +14,78 @@
 	KindService UpstreamKind = "service"
 )
 
-// UpstreamState is the state that operators give an upstream.
+// UpstreamState determines whether an upstream gets new work.
 type UpstreamState string
 
-// The states of an upstream's record.
+// The states of an upstream. Only an active one gets new work.
 const (
 	UpstreamActive  UpstreamState = "active"
 	UpstreamLeaving UpstreamState = "leaving"
 )
 
-// DomainState is the state that operators give a failure domain.
+// DomainState determines whether a failure domain is in service.
 type DomainState string
 
-// The states of a failure domain's record.
+// The states of a failure domain. DomainOut means out of service.
 const (
 	DomainActive DomainState = "active"
 	DomainOut    DomainState = "out"
 )
 
-// Model is a model that callers can name.
+// Model is a model that callers can request.
 type Model struct {
 	Name string
 	// Version is the version that new generations use.
 	Version string
 	Adapter string
-	// MaxTokens bounds the output of one generation.
+	// MaxTokens limits the output of one generation.
 	MaxTokens int
-	// Replicas is the number of engines that should hold the model.
+	// Replicas is the number of engines on which the model should be loaded.
 	Replicas int
 }
 
-// ServiceRecord is a plain service that callers can name.
+// ServiceRecord is a service that callers can call.
 type ServiceRecord struct {
 	Name string
-	// IdempotentMethods may be repeated after an unknown outcome.
+	// IdempotentMethods are the HTTP methods of calls that may be repeated after
+	// an unknown outcome.
 	IdempotentMethods []string
-	// Timeout bounds one call.
+	// Timeout limits the duration of one call.
 	Timeout time.Duration
-	// MaxConns bounds the connections to one upstream over all callers. Zero
-	// means no bound.
+	// MaxConns limits the connections to one upstream over all callers. Zero
+	// means no limit.
 	MaxConns int
-	// ColdPerSecond is the request rate that a cold upstream bears. Zero means
-	// no bound.
+	// ColdPerSecond limits the request rate of a cold upstream. Zero means no
+	// limit.
 	ColdPerSecond float64
 	// Engine describes the service's upstreams if they are model engines.
 	Engine *EngineProfile
 }
 
-// Workspace is a customer with its limits.
+// Workspace is a customer with its API keys and limits.
 type Workspace struct {
 	Name WorkspaceID
-	// KeyHashes are SHA-256 hashes of API keys in hexadecimal.
+	// KeyHashes are the hexadecimal SHA-256 hashes of its API keys.
 	KeyHashes []string
-	// Weight is the share in fair queueing. Zero counts as 1.
+	// Weight is the share of the workspace in fair queueing. Zero counts as 1.
 	Weight int
-	// RequestsPerSecond and Concurrency bound the workspace over all entries.
-	// Zero means no bound.
+	// RequestsPerSecond and Concurrency limit the workspace's requests over all
+	// entry daemons. Zero means no limit.
 	RequestsPerSecond float64
 	Concurrency       int
 	Priority          Priority
-	// Urgency takes precedence over a route's rank, 0 first. Nil means none.
+	// Urgency takes precedence over Route.Urgency unless it is nil.
 	Urgency *int
 }
 
-// FailureDomain is a failure domain with its state.
+// FailureDomain is a group of hosts and upstreams that may fail together.
 type FailureDomain struct {
 	Name   FailureDomainID
 	Region RegionID
 	State  DomainState
 }
 
-// Upstream is a back end.
+// Upstream is a model engine or a server of a plain service.
 type Upstream struct {
 	ID            UpstreamID
 	Kind          UpstreamKind
@@ -95,35 +96,35 @@
 	Cell CellID
 	// Service is the plain service that the upstream runs.
 	Service string
-	// Models are the models that the upstream may hold.
+	// Models are the names of the models that the upstream may load.
 	Models []string
 	State  UpstreamState
-	// ColdLimit is the concurrency that a started upstream bears.
+	// ColdLimit is the concurrency limit of a cold upstream.
 	ColdLimit int
-	// WarmLimit is the concurrency that a warm upstream bears.
+	// WarmLimit is the concurrency limit of a warm upstream.
 	WarmLimit int
-	// MemoryTokens is the size of the key-value cache.
+	// MemoryTokens is the size of the key-value cache in tokens.
 	MemoryTokens int
-	// ChecksFence is set when the engine refuses old fencing numbers.
+	// ChecksFence is set if the engine rejects commands with an old fencing token.
 	ChecksFence bool
-	// Started is the start of the incarnation, by the upstream's clock.
+	// Started is the start time of the instance, by the upstream's clock.
 	Started time.Time
-	// ColdUntil ends the time after a start in which the upstream bears only
-	// the cold rate of its service.
+	// ColdUntil is the end of the time in which the upstream is cold and limited
+	// to ServiceRecord.ColdPerSecond.
 	ColdUntil time.Time
 }
 
 // Commitment is capacity that is paid for whether it is used or not.
 type Commitment struct {
 	Name string
-	// Model is the model that the commitment is for.
+	// Model is the name of the model that the commitment is for.
 	Model string
 	// TokensPerSecond is the committed throughput.
 	TokensPerSecond float64
 }
 
-// Snapshot is the configuration at one revision. It is immutable: readers
-// share it and must not change anything that it refers to.
+// Snapshot is the configuration at one revision. Its readers share it and must
+// not change it or anything that it refers to.
 type Snapshot struct {
 	Revision       Revision
 	Models         map[string]*Model
@@ -132,30 +133,31 @@
 	FailureDomains map[FailureDomainID]*FailureDomain
 	Upstreams      map[UpstreamID]*Upstream
 	Commitments    map[string]*Commitment
-	// ByKeyHash finds a workspace by the hash of an API key.
+	// ByKeyHash maps the hash of an API key to its workspace.
 	ByKeyHash map[string]*Workspace
 	// ByModel and ByService list upstreams in the order of their ids.
 	ByModel   map[string][]*Upstream
 	ByService map[string][]*Upstream
-	// Quarantined holds the fingerprints of requests that may not run.
+	// Quarantined is the set of fingerprints, in hexadecimal, of requests that may
+	// not run.
 	Quarantined map[string]bool
-	// Version is the operator's version of the routes, Routes the table.
+	// Version is the operator's version number of the routes.
 	Version uint64
 	Routes  *RouteTable
 	Limits  RequestLimits
 }
 
-// Snapshots gives the current configuration.
+// Snapshots gives access to the current configuration.
 type Snapshots interface {
 	// Snapshot returns the current snapshot, never nil.
 	Snapshot() *Snapshot
 }
 
-// In says whether the upstream belongs to a cell.
+// In reports whether the upstream belongs to a cell.
 func (u *Upstream) In(cell CellID) bool { return u.Cell == "" || u.Cell == cell }
 
-// Engine returns the profile of a service's engines, or nil if the service is
-// unknown or plain.
+// Engine returns the profile of a service's engines. It returns nil if the service
+// is unknown or its upstreams are no model engines.
 func (s *Snapshot) Engine(service string) *EngineProfile {
 	if r := s.Services[service]; r != nil {
 		return r.Engine
@@ -163,7 +165,8 @@
 	return nil
 }
 
-// Accepts says whether an upstream may get new work under the snapshot.
+// Accepts reports whether an upstream may get new work. It has to be known and
+// not leaving, and its failure domain known and in service.
 func (s *Snapshot) Accepts(id UpstreamID) bool {
 	u, ok := s.Upstreams[id]
 	if !ok || u.State == UpstreamLeaving {
--- a/store.go
+++ b/store.go
@@ -8,10 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxObjectBytes is the largest value that the platform's store takes.
+// MaxObjectBytes is the size of the largest value that the platform's store
+// accepts.
 const MaxObjectBytes = 1 << 20
 
-// Errors of a Store. ErrStoreUnknown means that a write may have taken effect.
+// Errors of a Store and its Watch. ErrStoreUnknown means that a write may have
+// taken effect.
 var (
 	ErrNotFound     = errors.New("bramleytack: object not found")
 	ErrConflict     = errors.New("bramleytack: object has another version")
@@ -27,13 +29,13 @@
 }
 
 // Object is a value in the store. Version is 0 for an object that does not
-// exist. Versions of all objects come from one counter that only rises.
+// exist. The versions of all objects come from one counter that never decreases.
 type Object struct {
 	Key
 	Version Revision
-	// ChangeID identifies the write that made this version.
+	// ChangeID identifies the write that created this version.
 	ChangeID string
-	// Deleted marks the tombstone of a removed object in events.
+	// Deleted is set in the change that reports the object's deletion.
 	Deleted bool
 	Data    []byte
 }
@@ -44,7 +46,7 @@
 	Leaving bool
 }
 
-// HostList is the platform's list of hosts. It lags behind reality.
+// HostList is the platform's list of hosts. It lags behind their actual state.
 type HostList struct {
 	At    time.Time
 	Hosts []HostState
@@ -58,8 +60,8 @@
 	List(ctx context.Context, kind string) ([]Object, Revision, error)
 	// Put writes o.Data if the object still has the expected version, where 0
 	// means that it must not exist. It returns the new version, or ErrConflict
-	// if another write came first, ErrStoreUnknown if the effect could not be
-	// determined, and ErrStoreDown if the write surely had no effect.
+	// if another write came first, ErrStoreUnknown if the write may have taken
+	// effect, and ErrStoreDown if it certainly did not.
 	Put(ctx context.Context, o Object, expected Revision) (Revision, error)
 	// Delete removes an object under the same condition as Put.
 	Delete(ctx context.Context, key Key, expected Revision) (Revision, error)
@@ -71,8 +73,8 @@
 
 // Watch is a stream of changes.
 type Watch interface {
-	// Next returns the next change. It returns ErrWatchSilent when neither a
-	// change nor a heartbeat came in time; the watch is then useless.
+	// Next returns the next change. It returns ErrWatchSilent if neither a change
+	// nor a heartbeat arrives in time. The watch is then unusable.
 	Next(ctx context.Context) (Object, error)
 	Close() error
 }
