--- a/cmd/bramleytack-fleet/doc.go
+++ b/cmd/bramleytack-fleet/doc.go
@@ -1,12 +1,12 @@
 // Command bramleytack-fleet runs one daemon on the users' platform.
 //
-// It reads the settings file that the platform names in its environment, logs
-// JSON lines to standard output and serves until a termination signal. On a
-// hang-up signal it reads the settings again.
+// It reads the settings file that the environment variable BRAMLEYTACK_BOOT
+// names, logs JSON lines to standard output and serves until it receives SIGTERM
+// or SIGINT. On SIGHUP it reads the settings again.
 //
 // # Usage
 //
-//	bramleytack-fleet            runs until a termination signal
+//	bramleytack-fleet            runs until SIGTERM or SIGINT
 //	bramleytack-fleet check      checks the settings and exits
 //
 // The exit status is 0 after a clean stop, 1 after a failure and 2 if the
--- a/cmd/bramleytack-fleet/main.go
+++ b/cmd/bramleytack-fleet/main.go
@@ -18,18 +18,18 @@
 const (
 	exitOK = iota
 	exitFailed
-	exitUsage
+	exitInvalidSettings
 )
 
 func main() { os.Exit(run(os.Args[1:])) }
 
 func run(args []string) int {
-	// A host has one core; more threads only take turns.
+	// Hosts have one core. More running threads would only add context switches.
 	runtime.GOMAXPROCS(1)
 	s, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
 	if err != nil {
 		bramleytack.PrintError(os.Stderr, "bramleytack-fleet", err)
-		return exitUsage
+		return exitInvalidSettings
 	}
 	if len(args) > 0 && args[0] == "check" {
 		fmt.Println("settings are valid")
@@ -40,7 +40,7 @@
 	store := platform.NewStore(s.Store)
 	node := btnode.New(s, btnode.Adapter{
 		Feed: store, Registry: store, Codec: platform.Codec{}, Dialect: platform.Dialect(),
-		Engines:     func(pool *btconn.Pool) btnode.Engines { return &platform.Engines{Pool: pool} },
+		Engines:     func(pool *btconn.Pool) btnode.Engines { return &platform.EngineClient{Pool: pool} },
 		EncodeAddrs: platform.EncodeAddrs, Calls: store.Calls,
 	}, os.Stdout)
 	reload := &reloader{node: node, signals: make(chan os.Signal, 1)}
@@ -53,7 +53,7 @@
 	return exitOK
 }
 
-// reloader reads the settings again on a signal.
+// reloader reads the settings again on each signal.
 type reloader struct {
 	node    *btnode.Node
 	signals chan os.Signal
