--- a/btowner/config.go
+++ b/btowner/config.go
@@ -9,55 +9,62 @@
 	"bramleytack/btramp"
 )
 
-// Fixed times of the owner's bookkeeping.
 const (
-	// GrantValidity is how long an entry may use a grant after it asked.
+	// GrantValidity is how long an entry daemon may use a grant, counted from
+	// when it asked for the grant.
 	GrantValidity = time.Second
-	// deadlineGrace allows for the difference of clocks and for the time that
-	// a canceled generation takes to leave the engine.
+	// deadlineGrace is how long a reservation outlives its request's deadline.
+	// It allows for clock skew and for the time until an engine has stopped a
+	// canceled generation.
 	deadlineGrace = 2 * time.Second
-	// goneDead and goneLive are the times after a grant's expiry at which a
-	// report without the request shows that it is gone. A live entry releases
-	// by itself; the longer time covers requests that are stuck on a link.
-	goneDead = 2 * time.Second
-	goneLive = 10 * time.Second
-	// endedKept is how long ended grants are remembered, for releases and
-	// reservations that arrive out of order and for reports that lag.
-	endedKept = 10 * time.Second
-	// forgetPeriod bounds how often ended grants are searched.
-	forgetPeriod = time.Second
-	// maxLife bounds a reservation without a deadline.
-	maxLife = time.Hour
-	// interactiveRecent is how long headroom is kept after the last
-	// interactive reservation.
-	interactiveRecent = 30 * time.Second
-	// doubtTime is how long a failure lowers the limit without a report.
-	doubtTime = 5 * time.Second
-	// retryAfter is the advice with a refusal for lack of room.
-	retryAfter = 200 * time.Millisecond
-	// provenTokens is the output after which a generation counts as a
-	// success of a cold upstream, before its end.
-	provenTokens = 16
+	// orphanUnlistedGrace and unlistedGrace are the times from which a report
+	// that does not list a request shows that it has ended. The first is for
+	// requests whose entry daemon has left the view, counted from the expiry of
+	// the grant, or has abandoned them, counted from then. The second is for
+	// all others, counted from the expiry: a live entry daemon releases its
+	// reservations itself, and the request may be delayed on a link.
+	orphanUnlistedGrace = 2 * time.Second
+	unlistedGrace       = 10 * time.Second
+	// endedRetention is how long ended reservations are kept, for messages
+	// that arrive out of order and for reports that lag.
+	endedRetention = 10 * time.Second
+	// endedSweepInterval is the shortest time between two sweeps of the ended
+	// reservations.
+	endedSweepInterval = time.Second
+	// maxReservationAge is when a reservation without a deadline is dropped.
+	maxReservationAge = time.Hour
+	// headroomRetention is how long headroom is kept after the last request
+	// for an interactive reservation.
+	headroomRetention = 30 * time.Second
+	// possibleRestartTimeout is how long a failure lowers the limit if no newer
+	// report arrives.
+	possibleRestartTimeout = 5 * time.Second
+	// defaultRetryAfter is the RetryAfter of a rejected reservation.
+	defaultRetryAfter = 200 * time.Millisecond
+	// successTokens is the output after which a running generation already
+	// counts as a success of a cold upstream.
+	successTokens = 16
 )
 
 // Config holds the settings of an owner. Zero fields take defaults.
 type Config struct {
-	// Lengths forecasts outputs. It is shared by all upstreams.
+	// Lengths forecasts output lengths. All upstreams share it.
 	Lengths *btlength.Estimator
-	// Ramp holds the warm-up settings. The limits come from each record.
+	// Ramp holds the warm-up settings, without the concurrency limits, which
+	// come from each upstream's record.
 	Ramp btramp.Config
 	// MemoryZScore is the number of standard deviations above the expected
-	// memory use that must fit. Each report recomputes the forecast, so a peak
-	// stops admission long before it is reached, and a low value is safe. 2.33,
-	// the 99% quantile of the normal distribution, left 15% of a full upstream
-	// unused.
+	// memory use that must fit. A low value is enough, because each report
+	// recomputes the forecast: an expected peak stops admission long before it
+	// is reached. 2.33, the 99% quantile of the normal distribution, left 15%
+	// of a full upstream unused.
 	MemoryZScore float64
 	// Headroom is the share of concurrency and memory that each priority
-	// leaves to the higher ones while there is interactive work.
+	// leaves free for higher ones while there is interactive work.
 	Headroom [bramleytack.Priorities]float64
-	// MoveAbove is the memory share above which a generation is named to be
-	// moved.
-	MoveAbove float64
+	// VictimThreshold is the share of the memory above which, by the forecast,
+	// Victim names a generation to restart elsewhere.
+	VictimThreshold float64
 	// StepsBetweenPrompts is the number of decoding steps between the starts of
 	// two prompts. Prompts that start together share a step, which delays the
 	// next token of all other generations. A negative number turns the spacing
@@ -66,8 +73,10 @@
 	// AnyLengthWhenCold lets a cold upstream take requests of any length.
 	// Otherwise it takes only short ones for a while, since these warm it fast.
 	AnyLengthWhenCold bool
-	// WithoutReports admits before the first load report. Without it, a new
-	// owner first waits to see what already runs.
+	// WithoutReports is for upstreams whose load reports the owner need not
+	// wait for. It admits requests before the first report, where an owner
+	// otherwise waits to see what already runs, and it drops the reservation of
+	// an abandoned request at once.
 	WithoutReports bool
 }
 
@@ -81,6 +90,6 @@
 		c.Headroom[bramleytack.Standard] = 0.05
 	}
 	c.StepsBetweenPrompts = cmp.Or(c.StepsBetweenPrompts, 1)
-	c.MoveAbove = cmp.Or(c.MoveAbove, 0.97)
+	c.VictimThreshold = cmp.Or(c.VictimThreshold, 0.97)
 	return c
 }
--- a/btowner/digest.go
+++ b/btowner/digest.go
@@ -8,7 +8,7 @@
 	"bramleytack"
 )
 
-// Digest returns the upstream's digest.
+// Digest returns the upstream's state at now, which entry daemons route by.
 func (u *Upstream) Digest(now time.Time) bramleytack.UpstreamDigest {
 	return bramleytack.UpstreamDigest{
 		Upstream: u.record.ID,
@@ -18,14 +18,14 @@
 		Limit:    u.limit(now),
 		Level:    u.ramp.Level(),
 		Warm:     u.ramp.Warm(),
-		Memory:   u.share(),
-		Leaving:  u.out || u.report.Leaving || u.record.State == bramleytack.UpstreamLeaving,
+		Memory:   u.memoryShare(),
+		Leaving:  u.outOfService || u.report.Leaving || u.record.State == bramleytack.UpstreamLeaving,
 		Models:   u.report.Models,
 	}
 }
 
-// HeldDump is a reservation in a state dump.
-type HeldDump struct {
+// ReservationDump is a reservation in a state dump.
+type ReservationDump struct {
 	Grant      bramleytack.GrantID   `json:"grant"`
 	Entry      bramleytack.HostID    `json:"entry"`
 	Request    bramleytack.RequestID `json:"request"`
@@ -51,40 +51,40 @@
 	Foreign     int                    `json:"foreign"`
 	MemoryShare float64                `json:"memoryShare"`
 	ReportAt    time.Time              `json:"reportAt"`
-	Held        []HeldDump             `json:"held"`
+	Held        []ReservationDump      `json:"held"`
 }
 
-// Dump returns the upstream's state, oldest reservation first.
+// Dump returns the upstream's state with its reservations, oldest first.
 func (u *Upstream) Dump() UpstreamDump {
-	why, at := u.ramp.Reason()
+	reason, at := u.ramp.Reason()
 	d := UpstreamDump{
 		Upstream:    u.record.ID,
 		Instance:    u.ramp.Instance(),
 		Mode:        u.ramp.Mode().String(),
 		Level:       u.ramp.Level(),
 		Limit:       u.ramp.Limit(),
-		ResetReason: why.String(),
+		ResetReason: reason.String(),
 		ResetAt:     at,
 		Running:     u.Running(),
 		Foreign:     u.foreign,
-		MemoryShare: u.share(),
+		MemoryShare: u.memoryShare(),
 		ReportAt:    u.reportAt,
 	}
-	for _, h := range u.held {
-		d.Held = append(d.Held, HeldDump{
-			Grant:      h.Grant,
-			Entry:      h.Entry,
-			Request:    h.Request,
-			Priority:   h.Priority.String(),
-			Granted:    h.granted,
-			ValidUntil: h.validUntil,
-			Deadline:   h.Deadline,
-			Produced:   h.produced,
-			Suspect:    h.Suspect,
-			EntryGone:  h.dead,
+	for _, res := range u.held {
+		d.Held = append(d.Held, ReservationDump{
+			Grant:      res.Grant,
+			Entry:      res.Entry,
+			Request:    res.Request,
+			Priority:   res.Priority.String(),
+			Granted:    res.grantedAt,
+			ValidUntil: res.validUntil,
+			Deadline:   res.Deadline,
+			Produced:   res.produced,
+			Suspect:    res.Suspect,
+			EntryGone:  res.entryGone,
 		})
 	}
-	slices.SortFunc(d.Held, func(a, b HeldDump) int {
+	slices.SortFunc(d.Held, func(a, b ReservationDump) int {
 		return cmp.Or(a.Granted.Compare(b.Granted), cmp.Compare(a.Grant, b.Grant))
 	})
 	return d
--- a/btowner/doc.go
+++ b/btowner/doc.go
@@ -1,21 +1,22 @@
 // Package btowner admits requests to the upstreams that a daemon owns.
 //
-// The owner is the only place that counts what an upstream runs. An Upstream
-// holds the reservations of one upstream and decides whether another fits:
-// below the warm-up limit, within the forecast of its memory, and with
-// headroom for higher priorities. A Table holds the upstreams of a daemon and
+// Only the owner counts the requests that an upstream runs. An Upstream holds
+// the reservations of one upstream. It admits another one if the upstream is
+// below its warm-up limit, the forecast memory use fits, and headroom is left
+// for higher priorities. A Table holds the upstreams that a daemon owns and
 // implements bramleytack.Owner for them.
 //
-// Two sources tell what runs. Reservations are exact but can outlive their
-// request when an entry dies. Load reports show what really runs but lag. A
-// report is therefore compared with the reservations that existed at its time:
-// requests that no reservation explains are counted too, and a reservation is
-// dropped without a release only when a report shows that its request is gone
-// or when its deadline has passed.
+// The number of running requests comes from two sources. Reservations are
+// exact, but can outlive their request when an entry daemon dies. Load reports
+// show what really runs, but lag. A report is therefore compared with the
+// reservations that existed when it was made. Requests in the report without a
+// reservation are counted too. A reservation that is not released is dropped
+// only when a report shows that its request has ended or when its deadline has
+// passed.
 //
-// A grant that expires keeps its place until then, since its entry may have
-// written the first byte in time. An entry that did not use a grant releases
-// it with outcome NotRun.
+// A reservation outlives its grant's validity, since the entry daemon may have
+// written the first byte in time. An entry daemon that does not use a grant
+// releases it with outcome NotRun.
 //
 // # Usage
 //
--- a/btowner/drain.go
+++ b/btowner/drain.go
@@ -7,39 +7,43 @@
 )
 
 const (
-	// drainAsk is how long a refused suspect keeps an upstream free of new
-	// work. It is longer than the time between two asks.
-	drainAsk = time.Second
-	// drainMax bounds the drain for one suspect, and drainPause is the time
-	// until the next drain. Without them, suspects could keep an upstream idle.
-	drainMax   = 15 * time.Second
-	drainPause = 30 * time.Second
+	// drainExtension is how long an upstream gets no new work after it rejected
+	// a suspect request. It is longer than the time until the request asks
+	// again, so that the drain has no gaps.
+	drainExtension = time.Second
+	// maxDrainTime bounds the drain for one suspect request. drainCooldown is the
+	// further time until the drain for another one may start. Without them,
+	// suspect requests could keep an upstream idle.
+	maxDrainTime  = 15 * time.Second
+	drainCooldown = 30 * time.Second
 )
 
-// drain keeps new work from an upstream while a suspect waits to run alone.
-type drain struct {
-	request bramleytack.RequestID
-	began   time.Time
-	until   time.Time
+// suspectDrain keeps new work from an upstream while a suspect request, which
+// may have crashed an upstream, waits to run alone.
+type suspectDrain struct {
+	request   bramleytack.RequestID
+	startedAt time.Time
+	until     time.Time
 }
 
-// active says whether the upstream drains for another request than id.
-func (d *drain) active(now time.Time, id bramleytack.RequestID) bool {
+// blocks reports whether the upstream drains for a request other than id.
+func (d *suspectDrain) blocks(now time.Time, id bramleytack.RequestID) bool {
 	return now.Before(d.until) && id != d.request
 }
 
-// ask prolongs the drain for a suspect that was refused, or begins one.
-func (d *drain) ask(now time.Time, h *held) {
-	if !h.Suspect {
+// extend prolongs the drain for a rejected suspect request, or starts one. It
+// does nothing for other requests.
+func (d *suspectDrain) extend(now time.Time, res *trackedReservation) {
+	if !res.Suspect {
 		return
 	}
-	if h.Request != d.request {
-		if !d.began.IsZero() && now.Sub(d.began) < drainMax+drainPause {
+	if res.Request != d.request {
+		if !d.startedAt.IsZero() && now.Sub(d.startedAt) < maxDrainTime+drainCooldown {
 			return
 		}
-		d.request, d.began = h.Request, now
+		d.request, d.startedAt = res.Request, now
 	}
-	if until := now.Add(drainAsk); until.Sub(d.began) <= drainMax {
+	if until := now.Add(drainExtension); until.Sub(d.startedAt) <= maxDrainTime {
 		d.until = until
 	}
 }
--- a/btowner/forecast.go
+++ b/btowner/forecast.go
@@ -6,18 +6,19 @@
 	"bramleytack/btlength"
 )
 
-// moments holds the mean and the variance of memory use, in tokens, over the
-// intervals of a btlength.Curve.
-type moments struct {
+// memoryForecast holds the mean and the variance of memory use, in tokens, for
+// each interval of a btlength.Curve.
+type memoryForecast struct {
 	mean     [btlength.Steps]float64
 	variance [btlength.Steps]float64
 }
 
-// forecastOf returns the memory use of a generation that holds size tokens.
-// All generations grow by one token a step, so intervals of tokens are
-// intervals of time that line up between generations.
-func forecastOf(size int, c *btlength.Curve) moments {
-	var m moments
+// forecastGeneration returns the memory use of a generation that holds size
+// tokens now. All generations grow by one token per step, so the intervals of a
+// curve, which count tokens, are the same intervals of time for all of them and
+// the forecasts can be added.
+func forecastGeneration(size int, c *btlength.Curve) memoryForecast {
+	var m memoryForecast
 	for k := range btlength.Steps {
 		alive := float64(c.Alive[k])
 		if alive <= 0 {
@@ -27,30 +28,32 @@
 		use := float64(size) + reach
 		width := reach - float64(btlength.Horizon(k))
 		m.mean[k] = use * alive
-		// Bernoulli part for being alive, uniform part within the interval.
+		// The first term is the Bernoulli variance of still running, the second
+		// the variance of a uniform distribution within the interval.
 		m.variance[k] = use*use*alive*max(0, 1-alive) + alive*width*width/3
 	}
 	return m
 }
 
-func (m *moments) add(o *moments) {
+func (m *memoryForecast) add(o *memoryForecast) {
 	for k := range m.mean {
 		m.mean[k] += o.mean[k]
 		m.variance[k] += o.variance[k]
 	}
 }
 
-// remove takes a part of the sum off. Rounding must not leave a negative sum.
-func (m *moments) remove(o *moments) {
+// remove subtracts o, which was added before. Rounding errors must not leave a
+// negative sum.
+func (m *memoryForecast) remove(o *memoryForecast) {
 	for k := range m.mean {
 		m.mean[k] = max(0, m.mean[k]-o.mean[k])
 		m.variance[k] = max(0, m.variance[k]-o.variance[k])
 	}
 }
 
-// peak returns the highest use over all intervals, z standard deviations above
-// the mean, with more added to the sum.
-func (m *moments) peak(more *moments, z float64) float64 {
+// peak returns the highest memory use over all intervals, z standard deviations
+// above the mean, of the sum of m and more.
+func (m *memoryForecast) peak(more *memoryForecast, z float64) float64 {
 	var top float64
 	for k := range m.mean {
 		use := m.mean[k] + more.mean[k]
--- a/btowner/report.go
+++ b/btowner/report.go
@@ -7,43 +7,44 @@
 	"bramleytack/btlength"
 )
 
-// clockReset is the time without an accepted report after which the upstream's
-// clock is taken as set back.
-const clockReset = time.Minute
+// clockResetTimeout is the time without an accepted report after which the owner
+// assumes that the upstream's clock was set back, and accepts any report.
+const clockResetTimeout = time.Minute
 
-// Report merges a load report that arrived now.
+// Report merges a load report that arrived now. It ignores one that is older
+// than the last.
 func (u *Upstream) Report(now time.Time, r bramleytack.LoadReport) {
 	u.expire(now)
-	at := now.Add(-r.Age)
-	if u.late(now, at, r) {
+	madeAt := now.Add(-r.Age)
+	if u.isStale(now, madeAt, r) {
 		return
 	}
 	restarted := u.reported && r.Instance != u.report.Instance
 	u.ramp.ObserveInstance(now, r.Instance)
-	u.pace(now, r)
-	u.report, u.reportAt, u.receivedAt, u.reported = r, at, now, true
-	if at.After(u.failedAt) {
-		u.failedAt = time.Time{}
+	u.paceFromReports(now, r)
+	u.report, u.reportAt, u.receivedAt, u.reported = r, madeAt, now, true
+	if madeAt.After(u.possibleRestartAt) {
+		u.possibleRestartAt = time.Time{}
 	}
-	u.synced = u.synced || !at.Before(u.since)
-	listed := u.progress(r)
+	u.synced = u.synced || !madeAt.Before(u.ownedSince)
+	listed := u.recordProgress(r)
 	if restarted {
-		u.dropOlder(at, listed)
+		u.dropBeforeRestart(madeAt, listed)
 	}
-	u.dropGone(now, r, listed)
-	u.foreign = max(0, r.Running+r.Waiting-u.explained(at, listed))
-	u.sumUp(r, listed)
+	u.dropEnded(now, r, listed)
+	u.foreign = max(0, r.Running+r.Waiting-u.countReserved(madeAt, listed))
+	u.recomputeForecast(r, listed)
 }
 
-// paceSpan is the shortest time between two reports that shows the pace. A
-// step takes tens of milliseconds.
-const paceSpan = 200 * time.Millisecond
+// minPaceInterval is the shortest time between two reports from which the
+// duration of a step is computed. A step takes tens of milliseconds.
+const minPaceInterval = 200 * time.Millisecond
 
-// pace tells the ramp the time of a decoding step: the fastest generation of
-// two reports got a token in each step.
-func (u *Upstream) pace(now time.Time, r bramleytack.LoadReport) {
+// paceFromReports passes the duration of a decoding step to the ramp: the
+// generation that gained most tokens between two reports got one in each step.
+func (u *Upstream) paceFromReports(now time.Time, r bramleytack.LoadReport) {
 	span := r.At.Sub(u.report.At)
-	if !u.reported || r.Instance != u.report.Instance || span < paceSpan {
+	if !u.reported || r.Instance != u.report.Instance || span < minPaceInterval {
 		return
 	}
 	before := make(map[bramleytack.RequestID]int, len(u.report.Generations))
@@ -63,43 +64,46 @@
 	}
 }
 
-// paceTokens is the output from which on a whole generation shows the pace.
-const paceTokens = 5
+// minPaceTokens is the shortest output of a generation from which the duration
+// of a step is computed.
+const minPaceTokens = 5
 
-// paceOf tells the ramp the pace of a generation that ended. Short ones, which
-// warm a cold upstream, end between two reports. On a warm upstream the reports
-// suffice; a generation can be slow there for other reasons.
-func (u *Upstream) paceOf(now time.Time, h *held, v bramleytack.Release) {
-	if v.Tokens < paceTokens || v.FirstToken <= 0 {
+// paceFromRelease passes the average duration of the decoding steps of an ended
+// generation to the ramp. Short generations, which warm a cold upstream, can
+// start and end between two reports. On a warm upstream the reports are enough,
+// and a generation can be slow for other reasons.
+func (u *Upstream) paceFromRelease(now time.Time, res *trackedReservation, v bramleytack.Release) {
+	if v.Tokens < minPaceTokens || v.FirstToken <= 0 {
 		return
 	}
-	decoding := now.Sub(h.granted) - v.FirstToken
+	decoding := now.Sub(res.grantedAt) - v.FirstToken
 	u.ramp.ObserveStep(now, u.Running()+1, decoding/time.Duration(v.Tokens-1))
 }
 
-// late says whether a report is older than the last one, by its age or, within
-// one run of the upstream, by the upstream's clock.
-func (u *Upstream) late(now, at time.Time, r bramleytack.LoadReport) bool {
-	if !u.reported || now.Sub(u.receivedAt) > clockReset {
+// isStale reports whether a report is older than the last accepted one: by its
+// age or, for the same instance, by the upstream's clock.
+func (u *Upstream) isStale(now, madeAt time.Time, r bramleytack.LoadReport) bool {
+	if !u.reported || now.Sub(u.receivedAt) > clockResetTimeout {
 		return false
 	}
-	return at.Before(u.reportAt) || (r.Instance == u.report.Instance && !r.At.After(u.report.At))
+	return madeAt.Before(u.reportAt) || (r.Instance == u.report.Instance && !r.At.After(u.report.At))
 }
 
-// dropOlder drops what ran before a restart. Grants that were valid at the
-// time of the report may have reached the new instance and stay. So do the
-// requests that it lists, since this owner may hear of the restart late.
-func (u *Upstream) dropOlder(at time.Time, listed map[bramleytack.RequestID]int) {
-	for _, h := range u.held {
-		if _, ok := listed[h.Request]; !ok && at.After(h.validUntil) {
-			u.drop(at, h, false)
+// dropBeforeRestart drops the reservations of requests that ran before a restart.
+// It keeps those whose grants were still valid when the report was made, since
+// they may have reached the new instance, and those that the report lists, since
+// the restart may be long past when this owner learns about it.
+func (u *Upstream) dropBeforeRestart(madeAt time.Time, listed map[bramleytack.RequestID]int) {
+	for _, res := range u.held {
+		if _, ok := listed[res.Request]; !ok && madeAt.After(res.validUntil) {
+			u.drop(madeAt, res, false)
 		}
 	}
 }
 
-// progress takes the produced tokens from a report and returns the requests
-// that it lists.
-func (u *Upstream) progress(r bramleytack.LoadReport) map[bramleytack.RequestID]int {
+// recordProgress records the tokens that a report shows for each request, and
+// returns them by request. The map is nil if the report lists no requests.
+func (u *Upstream) recordProgress(r bramleytack.LoadReport) map[bramleytack.RequestID]int {
 	if len(r.Generations) == 0 {
 		return nil
 	}
@@ -107,92 +111,96 @@
 	for _, g := range r.Generations {
 		listed[g.Request] = g.Tokens
 	}
-	for _, h := range u.held {
-		tokens, ok := listed[h.Request]
+	for _, res := range u.held {
+		tokens, ok := listed[res.Request]
 		if !ok {
 			continue
 		}
-		h.listed = u.reportAt
-		h.produced = max(h.produced, tokens)
-		if h.produced >= provenTokens && !h.proven {
-			h.proven = true
-			u.ramp.Progress(u.receivedAt, h.mark)
+		res.listedAt = u.reportAt
+		res.produced = max(res.produced, tokens)
+		if res.produced >= successTokens && !res.succeeded {
+			res.succeeded = true
+			u.ramp.Progress(u.receivedAt, res.mark)
 		}
 	}
 	return listed
 }
 
-// dropGone drops reservations that a complete report shows gone. A report that
-// only counts is complete when it counts nothing.
-func (u *Upstream) dropGone(now time.Time, r bramleytack.LoadReport, listed map[bramleytack.RequestID]int) {
+// dropEnded drops the reservations of requests that, by a complete report, have
+// ended. A report that counts requests without listing them is complete only if
+// it counts none.
+func (u *Upstream) dropEnded(now time.Time, r bramleytack.LoadReport, listed map[bramleytack.RequestID]int) {
 	if len(r.Generations) < r.Running+r.Waiting {
 		return
 	}
-	for _, h := range u.held {
-		if _, ok := listed[h.Request]; !ok && h.gone(u.reportAt) {
-			u.drop(now, h, false)
+	for _, res := range u.held {
+		if _, ok := listed[res.Request]; !ok && res.hasEnded(u.reportAt) {
+			u.drop(now, res, false)
 		}
 	}
 }
 
-// explained counts the requests in the report that reservations explain: by
-// name if the report lists them, else all that were reserved at its time.
-func (u *Upstream) explained(at time.Time, listed map[bramleytack.RequestID]int) int {
+// countReserved returns how many of the report's requests have a reservation, or
+// had one when the report was made. If the report lists no requests, it returns
+// the number of reservations at that time.
+func (u *Upstream) countReserved(madeAt time.Time, listed map[bramleytack.RequestID]int) int {
 	n := 0
-	count := func(h *held) {
+	count := func(res *trackedReservation) {
 		if len(listed) == 0 {
-			if !h.granted.After(at) {
+			if !res.grantedAt.After(madeAt) {
 				n++
 			}
-		} else if _, ok := listed[h.Request]; ok {
+		} else if _, ok := listed[res.Request]; ok {
 			n++
 		}
 	}
-	for _, h := range u.held {
-		count(h)
+	for _, res := range u.held {
+		count(res)
 	}
 	for _, e := range u.ended {
-		if e.at.After(at) {
-			count(e.held)
+		if e.at.After(madeAt) {
+			count(e.trackedReservation)
 		}
 	}
 	return n
 }
 
-// sumUp computes the forecast anew, which also removes rounding errors.
-func (u *Upstream) sumUp(r bramleytack.LoadReport, listed map[bramleytack.RequestID]int) {
-	u.sum = moments{}
-	if u.memory() <= 0 {
+// recomputeForecast adds up the forecasts of all requests again, with the tokens
+// that the report shows. This also removes accumulated rounding errors.
+func (u *Upstream) recomputeForecast(r bramleytack.LoadReport, listed map[bramleytack.RequestID]int) {
+	u.forecast = memoryForecast{}
+	if u.memorySize() <= 0 {
 		return
 	}
 	known := 0
-	for _, h := range u.held {
-		h.forecast(u.cfg.Lengths)
-		u.sum.add(&h.use)
-		if _, ok := listed[h.Request]; ok {
-			known += h.PromptTokens + h.produced
+	for _, res := range u.held {
+		res.updateForecast(u.cfg.Lengths)
+		u.forecast.add(&res.forecast)
+		if _, ok := listed[res.Request]; ok {
+			known += res.PromptTokens + res.produced
 		}
 	}
 	if u.foreign == 0 {
 		return
 	}
-	// Requests without a reservation share the memory that is not explained.
+	// The rest of the used memory is divided equally between the requests that
+	// have no reservation.
 	size := max(0, r.MemoryUsed-known) / u.foreign
 	c := u.cfg.Lengths.Curve(btlength.Key{Model: firstModel(r)}, 0, 0)
-	use := forecastOf(size, &c)
+	use := forecastGeneration(size, &c)
 	for range u.foreign {
-		u.sum.add(&use)
+		u.forecast.add(&use)
 	}
 }
 
-// forget drops ended grants that no message can refer to any more.
-func (u *Upstream) forget(now time.Time) {
-	if now.Sub(u.forgotAt) < forgetPeriod {
+// sweepEnded forgets ended reservations that no message can refer to any more.
+func (u *Upstream) sweepEnded(now time.Time) {
+	if now.Sub(u.sweptAt) < endedSweepInterval {
 		return
 	}
-	u.forgotAt = now
+	u.sweptAt = now
 	for id, e := range u.ended {
-		if now.Sub(e.at) > endedKept {
+		if now.Sub(e.at) > endedRetention {
 			delete(u.ended, id)
 		}
 	}
--- a/btowner/seed_test.go
+++ b/btowner/seed_test.go
@@ -3,7 +3,7 @@
 import "flag"
 
 // A fixed seed makes each run check the same cases. -rapid.seed overrides it.
-// Faults of the bookkeeping need long sequences of events.
+// Wrong counts show up only after long sequences of events.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "500")
--- a/btowner/table.go
+++ b/btowner/table.go
@@ -10,22 +10,23 @@
 	"bramleytack/btramp"
 )
 
-// Ownership is the right to grant reservations of one upstream, under one
-// view.
+// Ownership is the right to grant reservations of one upstream under one view.
 type Ownership struct {
 	ViewNumber uint64
-	Mode       btramp.Mode
+	// Mode lowers the limit while another daemon may act as the owner too.
+	Mode btramp.Mode
 }
 
-// OwnershipSource reports whether this daemon may grant reservations. It is
-// asked for each reservation, so that a daemon that was paused notices a lost
-// lease at once.
+// OwnershipSource decides whether this daemon may grant reservations of an
+// upstream now. A Table calls it for each reservation, so that a daemon that was
+// paused notices at once that its ownership has ended.
 type OwnershipSource interface {
+	// Ownership returns false if the daemon may not grant reservations.
 	Ownership(now time.Time, id bramleytack.UpstreamID) (Ownership, bool)
 }
 
 // Table holds the upstreams that a daemon owns. It implements
-// bramleytack.Owner for them.
+// bramleytack.Owner for them and is safe for concurrent use.
 type Table struct {
 	cfg   Config
 	timer bramleytack.Timer
@@ -33,63 +34,65 @@
 	// before the table is used.
 	Ownership OwnershipSource
 
-	// mu guards the map only. Each slot has a mutex of its own.
-	mu    sync.RWMutex
-	slots map[bramleytack.UpstreamID]*slot
+	// mu guards the map only. Each upstream has a mutex of its own.
+	mu        sync.RWMutex
+	upstreams map[bramleytack.UpstreamID]*lockedUpstream
 }
 
-type slot struct {
+type lockedUpstream struct {
 	mu       sync.Mutex
 	upstream *Upstream
 }
 
 // NewTable returns a table without upstreams.
 func NewTable(cfg Config, timer bramleytack.Timer) *Table {
-	return &Table{cfg: cfg.withDefaults(), timer: timer, slots: make(map[bramleytack.UpstreamID]*slot)}
+	return &Table{cfg: cfg.withDefaults(), timer: timer, upstreams: make(map[bramleytack.UpstreamID]*lockedUpstream)}
 }
 
-// Own adds an upstream, unless the table has it.
+// Own adds an upstream, cold and without reservations. It does nothing if the
+// table has the upstream.
 func (t *Table) Own(record *bramleytack.Upstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, ok := t.slots[record.ID]; !ok {
-		t.slots[record.ID] = &slot{upstream: NewUpstream(t.cfg, t.timer.Now(), record)}
+	if _, ok := t.upstreams[record.ID]; !ok {
+		t.upstreams[record.ID] = &lockedUpstream{upstream: NewUpstream(t.cfg, t.timer.Now(), record)}
 	}
 }
 
-// Disown removes an upstream.
+// Disown removes an upstream with its reservations.
 func (t *Table) Disown(id bramleytack.UpstreamID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.slots, id)
+	delete(t.upstreams, id)
 }
 
-// Owns says whether the table has an upstream.
-func (t *Table) Owns(id bramleytack.UpstreamID) bool { return t.slot(id) != nil }
+// Owns reports whether the table has an upstream.
+func (t *Table) Owns(id bramleytack.UpstreamID) bool { return t.lookup(id) != nil }
 
-func (t *Table) slot(id bramleytack.UpstreamID) *slot {
+func (t *Table) lookup(id bramleytack.UpstreamID) *lockedUpstream {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.slots[id]
+	return t.upstreams[id]
 }
 
-// with calls f with an upstream, if the table has it.
+// with calls f with an upstream under its lock. It returns false if the table
+// does not have the upstream.
 func (t *Table) with(id bramleytack.UpstreamID, f func(*Upstream)) bool {
-	s := t.slot(id)
-	if s == nil {
+	u := t.lookup(id)
+	if u == nil {
 		return false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f(s.upstream)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	f(u.upstream)
 	return true
 }
 
 // each calls f with each upstream in the order of their ids.
 func (t *Table) each(f func(*Upstream)) {
 	t.mu.RLock()
-	ids := make([]bramleytack.UpstreamID, 0, len(t.slots))
-	for id := range t.slots {
+	ids := make([]bramleytack.UpstreamID, 0, len(t.upstreams))
+	for id := range t.upstreams {
 		ids = append(ids, id)
 	}
 	t.mu.RUnlock()
@@ -99,7 +102,8 @@
 	}
 }
 
-// Configure applies a snapshot to the owned upstreams.
+// Configure applies a snapshot to the owned upstreams. One that has no record,
+// or whose failure domain is not active, gets no new work.
 func (t *Table) Configure(s *bramleytack.Snapshot) {
 	now := t.timer.Now()
 	t.each(func(u *Upstream) {
@@ -115,68 +119,69 @@
 
 // Reserve implements bramleytack.Owner.
 func (t *Table) Reserve(_ context.Context, r bramleytack.Reservation) (bramleytack.Grant, error) {
-	s := t.slot(r.Upstream)
-	if s == nil {
-		return bramleytack.Grant{}, refusal(bramleytack.CodeNoUpstream, "upstream is not owned here")
+	u := t.lookup(r.Upstream)
+	if u == nil {
+		return bramleytack.Grant{}, rejection(bramleytack.CodeNoUpstream, "this daemon does not own the upstream")
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	// The time is read under the lock: a wait for the lock must not outlast
-	// the ownership.
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	// The time is read under the lock, since the ownership may end during a wait
+	// for the lock.
 	now := t.timer.Now()
 	ownership := Ownership{}
 	if t.Ownership != nil {
 		p, ok := t.Ownership.Ownership(now, r.Upstream)
 		if !ok {
-			return bramleytack.Grant{}, refusal(bramleytack.CodeNoUpstream, "no view lease for the upstream")
+			return bramleytack.Grant{}, rejection(bramleytack.CodeNoUpstream, "this daemon has no view lease for the upstream")
 		}
 		ownership = p
-		s.upstream.SetMode(p.Mode)
+		u.upstream.SetMode(p.Mode)
 	}
-	g, err := s.upstream.Reserve(now, r)
+	g, err := u.upstream.Reserve(now, r)
 	g.ViewNumber = ownership.ViewNumber
 	return g, err
 }
 
-// Release implements bramleytack.Owner. A release for an upstream that moved
-// away is accepted, since the new owner learns of the end by load report.
+// Release implements bramleytack.Owner. It ignores a release for an upstream that
+// now has another owner, since that owner sees the end in a load report.
 func (t *Table) Release(_ context.Context, v bramleytack.Release) error {
 	t.with(v.Upstream, func(u *Upstream) { u.Release(t.timer.Now(), v) })
 	return nil
 }
 
-// Report merges a load report.
+// Report merges a load report of an upstream, if the table has it.
 func (t *Table) Report(id bramleytack.UpstreamID, r bramleytack.LoadReport) {
 	t.with(id, func(u *Upstream) { u.Report(t.timer.Now(), r) })
 }
 
-// Adopt counts reservations that an entry holds. It says whether the table
-// has the upstream.
+// Adopt counts reservations that the previous owner of an upstream granted. It
+// returns false if the table does not have the upstream.
 func (t *Table) Adopt(id bramleytack.UpstreamID, list []HeldReservation) bool {
 	return t.with(id, func(u *Upstream) { u.Adopt(t.timer.Now(), list) })
 }
 
-// MarkPossibleRestart holds an upstream that may have restarted at its cold
-// limit until a newer report shows its instance.
+// MarkPossibleRestart limits an upstream that may have restarted to its cold
+// limit until a newer report arrives, or for possibleRestartTimeout at most.
 func (t *Table) MarkPossibleRestart(id bramleytack.UpstreamID) {
 	t.with(id, func(u *Upstream) { u.MarkPossibleRestart(t.timer.Now()) })
 }
 
-// MarkSynced records that the owner knows every request that runs on the
+// MarkSynced records that this owner knows every request that runs on the
 // upstream.
 func (t *Table) MarkSynced(id bramleytack.UpstreamID) { t.with(id, (*Upstream).MarkSynced) }
 
-// Inherit takes over the level from a digest of the previous owner.
+// Inherit takes over the warm-up level from a digest of the previous owner.
 func (t *Table) Inherit(d bramleytack.UpstreamDigest) {
 	t.with(d.Upstream, func(u *Upstream) { u.Inherit(t.timer.Now(), d) })
 }
 
-// EntryGone marks the reservations of an entry that has left the view.
+// EntryGone marks the reservations of an entry daemon that has left the view.
 func (t *Table) EntryGone(entry bramleytack.HostID) {
 	t.each(func(u *Upstream) { u.EntryGone(entry) })
 }
 
-// Victims names the generations that should move to other upstreams.
+// Victims returns the generations that should restart at other upstreams, at
+// most one of each upstream. See [Upstream.Victim].
 func (t *Table) Victims() []bramleytack.Reservation {
 	var list []bramleytack.Reservation
 	now := t.timer.Now()
@@ -188,7 +193,8 @@
 	return list
 }
 
-// Digest returns the digest of an upstream.
+// Digest returns the digest of an upstream, or false if the table does not have
+// it.
 func (t *Table) Digest(id bramleytack.UpstreamID) (bramleytack.UpstreamDigest, bool) {
 	var d bramleytack.UpstreamDigest
 	ok := t.with(id, func(u *Upstream) { d = u.Digest(t.timer.Now()) })
@@ -203,7 +209,7 @@
 	return list
 }
 
-// Dump is the state of a Table.
+// Dump is the state of a Table in a state dump.
 type Dump struct {
 	Upstreams []UpstreamDump `json:"upstreams"`
 }
--- a/btowner/table_test.go
+++ b/btowner/table_test.go
@@ -21,8 +21,8 @@
 	return Ownership{ViewNumber: 7, Mode: btramp.Normal}, p.on.Load()
 }
 
-// Guards against grants without a view lease, on upstreams that are not owned,
-// and against places lost or doubled by concurrent use.
+// Guards against grants without a view lease or of upstreams that are not owned,
+// and against reservations that concurrent use loses or counts twice.
 func TestTable(t *testing.T) {
 	timers := bttimer.New(1)
 	defer timers.Close()
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -9,48 +9,57 @@
 )
 
 // Upstream is the admission state of one owned upstream. It is not safe for
-// concurrent use; a Table adds a mutex for each.
+// concurrent use; a Table holds a mutex for each one.
 type Upstream struct {
 	cfg    Config
 	record *bramleytack.Upstream
 	ramp   *btramp.Ramp
-	out    bool
-
-	held  map[bramleytack.GrantID]*held
-	ended map[bramleytack.GrantID]ended
-	// soonest is the earliest end of a reservation by its deadline.
-	soonest time.Time
-	suspect bramleytack.GrantID
-	drain   drain
-	sum     moments
-
-	report      bramleytack.LoadReport
-	reportAt    time.Time
-	receivedAt  time.Time
-	reported    bool
-	foreign     int
-	interactive time.Time
-	forgotAt    time.Time
-	// promptUntil is when the next prompt may start.
-	promptUntil time.Time
-	warmers     warmers
-	failedAt    time.Time
-	// since is when this daemon became the owner. synced is set once it knows
-	// every request that runs on the upstream.
-	since  time.Time
-	synced bool
+	// outOfService is set while the failure domain is not active.
+	outOfService bool
+
+	held  map[bramleytack.GrantID]*trackedReservation
+	ended map[bramleytack.GrantID]endedReservation
+	// nextExpiry is the earliest expiry in held, or earlier. Zero means none.
+	nextExpiry time.Time
+	// suspectGrant is the held grant of a suspect request, or empty.
+	suspectGrant bramleytack.GrantID
+	drain        suspectDrain
+	// forecast is the sum of the forecasts of all requests that count.
+	forecast memoryForecast
+
+	// report is the last accepted load report, if reported is set. It was made
+	// at reportAt and arrived at receivedAt, both by this daemon's clock.
+	report     bramleytack.LoadReport
+	reportAt   time.Time
+	receivedAt time.Time
+	reported   bool
+	// foreign is the number of requests in the report without a reservation.
+	foreign int
+	// lastInteractive is when an interactive reservation was last asked for.
+	lastInteractive time.Time
+	sweptAt         time.Time
+	// nextPromptAt is when the next prompt may start.
+	nextPromptAt  time.Time
+	shortRequests shortRequests
+	// possibleRestartAt is the last failure after which the upstream may have
+	// restarted. It is zero once a newer report has arrived.
+	possibleRestartAt time.Time
+	// ownedSince is when this daemon became the owner. synced is set once it
+	// knows every request that runs on the upstream.
+	ownedSince time.Time
+	synced     bool
 }
 
 // NewUpstream returns the state of an upstream that is cold and owned from now
 // on.
 func NewUpstream(cfg Config, now time.Time, record *bramleytack.Upstream) *Upstream {
 	u := &Upstream{
-		cfg:    cfg.withDefaults(),
-		record: record,
-		held:   make(map[bramleytack.GrantID]*held),
-		ended:  make(map[bramleytack.GrantID]ended),
-		since:  now,
-		synced: cfg.WithoutReports,
+		cfg:        cfg.withDefaults(),
+		record:     record,
+		held:       make(map[bramleytack.GrantID]*trackedReservation),
+		ended:      make(map[bramleytack.GrantID]endedReservation),
+		ownedSince: now,
+		synced:     cfg.WithoutReports,
 	}
 	u.ramp = btramp.New(u.rampConfig())
 	return u
@@ -62,15 +71,15 @@
 	return c
 }
 
-// Configure takes a new record and whether the failure domain is out of
-// service. An upstream that comes back with its domain is cold.
-func (u *Upstream) Configure(now time.Time, record *bramleytack.Upstream, out bool) {
+// Configure sets the record and whether the failure domain is out of service. An
+// upstream is cold when its domain returns to service.
+func (u *Upstream) Configure(now time.Time, record *bramleytack.Upstream, outOfService bool) {
 	u.record = record
 	u.ramp.Configure(u.rampConfig())
-	if out != u.out {
+	if outOfService != u.outOfService {
 		u.ramp.Reset(now, btramp.DomainReturned)
 	}
-	u.out = out
+	u.outOfService = outOfService
 }
 
 // SetMode sets the mode of the warm-up limit.
@@ -83,62 +92,65 @@
 // may have left requests running.
 func (u *Upstream) MarkSynced() { u.synced = true }
 
-// Running returns the number of requests that count: reservations and
-// requests that only the load report shows.
+// Running returns the number of requests that count: those with a reservation
+// and those that only the load report shows.
 func (u *Upstream) Running() int { return len(u.held) + u.foreign }
 
-// Reserve admits a request or refuses it with NotRun.
+// Reserve grants a reservation, or returns an Error with NotRun. A repeated
+// reservation gets the same grant.
 func (u *Upstream) Reserve(now time.Time, r bramleytack.Reservation) (bramleytack.Grant, error) {
 	u.expire(now)
-	if h, ok := u.held[r.Grant]; ok {
-		return u.grant(h), nil
+	if res, ok := u.held[r.Grant]; ok {
+		return u.grantFor(res), nil
 	}
 	if _, ok := u.ended[r.Grant]; ok {
-		return bramleytack.Grant{}, refusal(bramleytack.CodeCanceled, "grant was released before")
+		return bramleytack.Grant{}, rejection(bramleytack.CodeCanceled, "grant has already ended")
 	}
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
-		return bramleytack.Grant{}, refusal(bramleytack.CodeTimeout, "deadline has passed")
+		return bramleytack.Grant{}, rejection(bramleytack.CodeTimeout, "deadline has passed")
 	}
-	if err := u.available(r); err != nil {
+	if err := u.checkAvailable(r); err != nil {
 		return bramleytack.Grant{}, err
 	}
 	if r.Priority == bramleytack.Interactive {
-		u.interactive = now
+		u.lastInteractive = now
 	}
-	h := &held{Reservation: r, granted: now, validUntil: now.Add(GrantValidity)}
-	if err := u.admit(now, h); err != nil {
+	res := &trackedReservation{Reservation: r, grantedAt: now, validUntil: now.Add(GrantValidity)}
+	if err := u.admit(now, res); err != nil {
 		return bramleytack.Grant{}, err
 	}
-	u.add(h)
-	return u.grant(h), nil
+	u.add(res)
+	return u.grantFor(res), nil
 }
 
-func (u *Upstream) grant(h *held) bramleytack.Grant {
+func (u *Upstream) grantFor(res *trackedReservation) bramleytack.Grant {
 	return bramleytack.Grant{
-		ID:         h.Grant,
+		ID:         res.Grant,
 		Upstream:   u.record.ID,
 		Instance:   u.ramp.Instance(),
-		ValidUntil: h.validUntil,
+		ValidUntil: res.validUntil,
 	}
 }
 
-// available refuses what no free capacity could help.
-func (u *Upstream) available(r bramleytack.Reservation) error {
+// checkAvailable rejects a reservation that free capacity would not help: the
+// upstream takes no new work, may run requests that the owner does not know, or
+// does not have the model.
+func (u *Upstream) checkAvailable(r bramleytack.Reservation) error {
 	switch {
-	case u.out || u.record.State == bramleytack.UpstreamLeaving || u.report.Leaving:
-		return refusal(bramleytack.CodeNoUpstream, "upstream takes no new work")
+	case u.outOfService || u.record.State == bramleytack.UpstreamLeaving || u.report.Leaving:
+		return rejection(bramleytack.CodeNoUpstream, "upstream takes no new work")
 	case !u.synced:
-		return refusal(bramleytack.CodeOverloaded, "owner does not know yet what runs")
-	case u.reported && r.Model != "" && !u.holds(r.Model):
-		return refusal(bramleytack.CodeNoUpstream, "upstream does not hold the model")
+		return rejection(bramleytack.CodeOverloaded, "owner does not know yet which requests the upstream runs")
+	case u.reported && r.Model != "" && !u.hasModel(r.Model):
+		return rejection(bramleytack.CodeNoUpstream, "upstream does not have the model loaded")
 	default:
 		return nil
 	}
 }
 
-// holds says whether the last report lists the model. A report without models
-// says nothing.
-func (u *Upstream) holds(model string) bool {
+// hasModel reports whether the last report lists the model. A report that lists
+// no models does not exclude any.
+func (u *Upstream) hasModel(model string) bool {
 	for i := range u.report.Models {
 		if u.report.Models[i].Model == model {
 			return true
@@ -147,81 +159,83 @@
 	return len(u.report.Models) == 0
 }
 
-// admit checks the limits, cheapest first. The ramp is last since it counts
-// the prompt.
-func (u *Upstream) admit(now time.Time, h *held) error {
+// admit checks the limits, cheapest first. The ramp is last since it counts the
+// prompt tokens of a request that it admits.
+func (u *Upstream) admit(now time.Time, res *trackedReservation) error {
 	running := u.Running()
-	if u.drain.active(now, h.Request) {
-		return refusal(bramleytack.CodeOverloaded, "upstream drains for a suspect")
+	if u.drain.blocks(now, res.Request) {
+		return rejection(bramleytack.CodeOverloaded, "upstream is draining for a suspect request")
 	}
-	if u.suspect != "" || (h.Suspect && running > 0) {
-		u.drain.ask(now, h)
-		return refusal(bramleytack.CodeOverloaded, "a suspect runs alone")
+	if u.suspectGrant != "" || (res.Suspect && running > 0) {
+		u.drain.extend(now, res)
+		return rejection(bramleytack.CodeOverloaded, "a suspect request has to run alone")
 	}
-	if u.keptForShort(now, h) {
-		return refusal(bramleytack.CodeOverloaded, "a cold upstream is kept for short requests")
+	if u.rejectsLong(now, res) {
+		return rejection(bramleytack.CodeOverloaded, "cold upstream takes only short requests")
 	}
-	headroom := u.headroom(now, h.Priority)
+	headroom := u.headroom(now, res.Priority)
 	limit := u.limit(now)
 	if running >= limit-int(headroom*float64(limit)) {
-		return refusal(bramleytack.CodeOverloaded, "upstream is at its concurrency limit")
+		return rejection(bramleytack.CodeOverloaded, "upstream is at its concurrency limit")
 	}
-	if !u.fits(h, 1-headroom) {
-		return refusal(bramleytack.CodeOverloaded, "forecast memory does not fit")
+	if !u.fitsMemory(res, 1-headroom) {
+		return rejection(bramleytack.CodeOverloaded, "forecast memory use does not fit")
 	}
-	if wait := u.promptUntil.Sub(now); wait > 0 {
-		return refusal(bramleytack.CodeOverloaded, "upstream starts another prompt").WithRetryAfter(wait)
+	if wait := u.nextPromptAt.Sub(now); wait > 0 {
+		return rejection(bramleytack.CodeOverloaded, "upstream has just started another prompt").WithRetryAfter(wait)
 	}
-	mark, ok := u.ramp.Admit(now, running, h.PromptTokens)
+	mark, ok := u.ramp.Admit(now, running, res.PromptTokens)
 	if !ok {
-		return refusal(bramleytack.CodeOverloaded, "upstream is warming up").
-			WithRetryAfter(max(retryAfter, u.ramp.Wait(now)))
+		return rejection(bramleytack.CodeOverloaded, "upstream is warming up").
+			WithRetryAfter(max(defaultRetryAfter, u.ramp.Wait(now)))
 	}
-	h.mark = mark
+	res.mark = mark
 	if step, ok := u.ramp.StepTime(running); ok && u.cfg.StepsBetweenPrompts > 0 {
-		u.promptUntil = now.Add(time.Duration(u.cfg.StepsBetweenPrompts * float64(step)))
+		u.nextPromptAt = now.Add(time.Duration(u.cfg.StepsBetweenPrompts * float64(step)))
 	}
 	return nil
 }
 
-// MarkPossibleRestart records that the upstream may have restarted.
-func (u *Upstream) MarkPossibleRestart(now time.Time) { u.failedAt = now }
+// MarkPossibleRestart records that the upstream may have restarted, which lowers
+// its limit.
+func (u *Upstream) MarkPossibleRestart(now time.Time) { u.possibleRestartAt = now }
 
-// limit returns the concurrency limit. After a failure, which may mean that
-// the upstream restarted, it is the base until a report shows the instance:
-// requests that wait would otherwise take the places of those that failed.
+// limit returns the concurrency limit. After a failure, which may mean that the
+// upstream restarted, it is at most the base until a report shows the instance:
+// waiting requests would otherwise replace those that failed, and overload an
+// upstream that is cold.
 func (u *Upstream) limit(now time.Time) int {
 	limit := u.ramp.Limit()
-	if u.failedAt.IsZero() || now.Sub(u.failedAt) > doubtTime {
+	if u.possibleRestartAt.IsZero() || now.Sub(u.possibleRestartAt) > possibleRestartTimeout {
 		return limit
 	}
 	return min(limit, u.ramp.Base())
 }
 
-// headroom returns the share that a priority leaves free. Without interactive
-// work, lower priorities use all of the capacity.
+// headroom returns the share of the capacity that a priority leaves free. Without
+// interactive work, lower priorities may use all of it.
 func (u *Upstream) headroom(now time.Time, p bramleytack.Priority) float64 {
-	if now.Sub(u.interactive) > interactiveRecent || int(p) >= len(u.cfg.Headroom) {
+	if now.Sub(u.lastInteractive) > headroomRetention || int(p) >= len(u.cfg.Headroom) {
 		return 0
 	}
 	return u.cfg.Headroom[p]
 }
 
-// fits computes the forecast of h and says whether it fits into a share of
-// the memory. A request that would run alone always fits: no other place
-// would serve it better.
-func (u *Upstream) fits(h *held, share float64) bool {
-	capacity := u.memory()
+// fitsMemory computes the forecast of res and reports whether it fits into a
+// share of the memory. A request that would run alone always fits, since waiting
+// would free no more memory.
+func (u *Upstream) fitsMemory(res *trackedReservation, share float64) bool {
+	capacity := u.memorySize()
 	if capacity <= 0 {
 		return true
 	}
-	h.forecast(u.cfg.Lengths)
-	return u.Running() == 0 || u.sum.peak(&h.use, u.cfg.MemoryZScore) <= share*float64(capacity)
+	res.updateForecast(u.cfg.Lengths)
+	return u.Running() == 0 || u.forecast.peak(&res.forecast, u.cfg.MemoryZScore) <= share*float64(capacity)
 }
 
-// memory returns the size of the upstream's memory, or 0 for a plain service,
-// which has concurrency limits only.
-func (u *Upstream) memory() int {
+// memorySize returns the size of the upstream's memory in tokens, or 0 if it is
+// unknown. A plain service has 0, since only concurrency limits apply to it.
+func (u *Upstream) memorySize() int {
 	if u.record.Kind == bramleytack.KindService {
 		return 0
 	}
@@ -231,80 +245,82 @@
 	return u.record.MemoryTokens
 }
 
-func (u *Upstream) add(h *held) {
-	u.held[h.Grant] = h
-	u.sum.add(&h.use)
-	if h.Suspect {
-		u.suspect = h.Grant
+func (u *Upstream) add(res *trackedReservation) {
+	u.held[res.Grant] = res
+	u.forecast.add(&res.forecast)
+	if res.Suspect {
+		u.suspectGrant = res.Grant
 		u.drain.until = time.Time{}
 	}
-	if end := h.end(); u.soonest.IsZero() || end.Before(u.soonest) {
-		u.soonest = end
+	if end := res.expiry(); u.nextExpiry.IsZero() || end.Before(u.nextExpiry) {
+		u.nextExpiry = end
 	}
 }
 
-// drop ends a reservation and remembers it for a while.
-func (u *Upstream) drop(now time.Time, h *held, released bool) {
-	delete(u.held, h.Grant)
-	u.sum.remove(&h.use)
-	if u.suspect == h.Grant {
-		u.suspect = ""
+// drop moves a reservation from held to ended.
+func (u *Upstream) drop(now time.Time, res *trackedReservation, released bool) {
+	delete(u.held, res.Grant)
+	u.forecast.remove(&res.forecast)
+	if u.suspectGrant == res.Grant {
+		u.suspectGrant = ""
 	}
-	u.ended[h.Grant] = ended{held: h, at: now, released: released || h.abandoned()}
+	u.ended[res.Grant] = endedReservation{trackedReservation: res, at: now, released: released || res.abandoned()}
 }
 
-// Release frees a place and learns from how the request ended. A release of
-// an unknown grant is remembered, since its reservation may still arrive. The
-// place of an abandoned request is kept until a report shows that it has ended:
-// upstreams run on without a caller, and a cold one bears no request more.
+// Release ends a reservation and records how its request ended. A release of an
+// unknown grant is kept, since its reservation may still arrive. The reservation
+// of an abandoned request is kept until a report shows that the request has
+// ended: upstreams keep running it without a caller, and one more request could
+// overload a cold one.
 func (u *Upstream) Release(now time.Time, v bramleytack.Release) {
-	h, ok := u.held[v.Grant]
+	res, ok := u.held[v.Grant]
 	switch {
-	case ok && h.abandoned():
+	case ok && res.abandoned():
 		return
 	case ok && v.Abandoned && !u.cfg.WithoutReports:
-		h.leftAt = now
+		res.abandonedAt = now
 	case ok:
-		u.drop(now, h, true)
+		u.drop(now, res, true)
 	default:
 		e, known := u.ended[v.Grant]
 		if known && e.released {
 			return
 		}
 		if !known {
-			u.ended[v.Grant] = ended{held: &held{Reservation: bramleytack.Reservation{Grant: v.Grant}}, at: now, released: true}
+			u.ended[v.Grant] = endedReservation{trackedReservation: &trackedReservation{Reservation: bramleytack.Reservation{Grant: v.Grant}}, at: now, released: true}
 			return
 		}
 		e.released = true
 		u.ended[v.Grant] = e
-		h = e.held
+		res = e.trackedReservation
 	}
-	u.learn(now, h, v)
+	u.recordOutcome(now, res, v)
 }
 
-func (u *Upstream) learn(now time.Time, h *held, v bramleytack.Release) {
+// recordOutcome passes how a request ended to the length estimator and the ramp.
+func (u *Upstream) recordOutcome(now time.Time, res *trackedReservation, v bramleytack.Release) {
 	ran := v.Outcome == bramleytack.Ran && !v.Failed
 	if ran && v.Tokens > 0 {
-		u.cfg.Lengths.Add(now, h.key(), v.Tokens)
+		u.cfg.Lengths.Add(now, res.lengthKey(), v.Tokens)
 	}
 	if v.Failed {
 		u.MarkPossibleRestart(now)
 	}
 	if ran && !u.ramp.Warm() {
-		u.paceOf(now, h, v)
+		u.paceFromRelease(now, res, v)
 	}
 	service := u.record.Kind == bramleytack.KindService
-	u.ramp.End(now, h.mark, btramp.Result{
-		OK:           ran && (v.Tokens > 0 || service) && !h.proven,
+	u.ramp.End(now, res.mark, btramp.Result{
+		OK:           ran && (v.Tokens > 0 || service) && !res.succeeded,
 		Failed:       v.Failed,
 		FirstToken:   v.FirstToken,
-		PromptTokens: h.PromptTokens,
+		PromptTokens: res.PromptTokens,
 		Queued:       u.report.Waiting > 0,
 	})
 }
 
-// Adopt counts reservations that an entry got from the owner before. They are
-// taken as they are, even above the limits, since they may already run.
+// Adopt counts reservations that an entry daemon got from the previous owner.
+// They count even above the limits, since their requests may already run.
 func (u *Upstream) Adopt(now time.Time, list []HeldReservation) {
 	for _, v := range list {
 		if _, ok := u.ended[v.Grant]; ok {
@@ -314,86 +330,88 @@
 			continue
 		}
 		granted := now.Add(-v.Age)
-		h := &held{Reservation: v.Reservation, granted: granted, validUntil: granted.Add(GrantValidity), produced: v.Tokens}
-		h.forecast(u.cfg.Lengths)
-		u.add(h)
-		if u.foreign > 0 && u.lists(v.Request) {
+		res := &trackedReservation{Reservation: v.Reservation, grantedAt: granted, validUntil: granted.Add(GrantValidity), produced: v.Tokens}
+		res.updateForecast(u.cfg.Lengths)
+		u.add(res)
+		if u.foreign > 0 && u.reportLists(v.Request) {
 			u.foreign--
 		}
 	}
 }
 
-// lists says whether the last report lists a request.
-func (u *Upstream) lists(id bramleytack.RequestID) bool {
+// reportLists reports whether the last report lists a request.
+func (u *Upstream) reportLists(id bramleytack.RequestID) bool {
 	return slices.ContainsFunc(u.report.Generations, func(g bramleytack.GenerationState) bool { return g.Request == id })
 }
 
-// Inherit takes over the level from the previous owner's digest.
+// Inherit takes over the warm-up level from the previous owner's digest.
 func (u *Upstream) Inherit(now time.Time, d bramleytack.UpstreamDigest) {
 	u.ramp.Inherit(d.Instance, d.Level, now.Sub(d.At))
 }
 
-// EntryGone marks the reservations of an entry that has left the view. They
-// stay counted until a load report or their deadline shows them gone.
+// EntryGone marks the reservations of an entry daemon that has left the view.
+// They count until a load report shows that their requests have ended, or until
+// their deadlines.
 func (u *Upstream) EntryGone(entry bramleytack.HostID) {
-	for _, h := range u.held {
-		if h.Entry == entry {
-			h.dead = true
+	for _, res := range u.held {
+		if res.Entry == entry {
+			res.entryGone = true
 		}
 	}
 }
 
-// expire drops reservations whose deadline has passed.
+// expire drops reservations that have passed their expiry, and sweeps ended ones.
 func (u *Upstream) expire(now time.Time) {
-	u.forget(now)
-	if u.soonest.IsZero() || now.Before(u.soonest) {
+	u.sweepEnded(now)
+	if u.nextExpiry.IsZero() || now.Before(u.nextExpiry) {
 		return
 	}
-	u.soonest = time.Time{}
-	for _, h := range u.held {
-		end := h.end()
+	u.nextExpiry = time.Time{}
+	for _, res := range u.held {
+		end := res.expiry()
 		if !now.Before(end) {
-			u.drop(now, h, false)
-		} else if u.soonest.IsZero() || end.Before(u.soonest) {
-			u.soonest = end
+			u.drop(now, res, false)
+		} else if u.nextExpiry.IsZero() || end.Before(u.nextExpiry) {
+			u.nextExpiry = end
 		}
 	}
 }
 
-// Victim names the newest generation of the lowest priority that has produced
-// nothing, when the forecast is close to the memory's size. Its entry cancels
-// it and starts it elsewhere, which costs less than a preemption. A generation
-// is named once.
+// Victim returns the reservation of the newest generation of the lowest priority
+// that has produced nothing, if the forecast memory use is above
+// VictimThreshold. Its entry daemon should cancel it and start it elsewhere,
+// which costs less than a preemption. Each generation is returned once.
 func (u *Upstream) Victim(now time.Time) (bramleytack.Reservation, bool) {
 	u.expire(now)
-	if u.Running() < 2 || u.share() <= u.cfg.MoveAbove {
+	if u.Running() < 2 || u.memoryShare() <= u.cfg.VictimThreshold {
 		return bramleytack.Reservation{}, false
 	}
-	var best *held
-	for _, h := range u.held {
-		if h.produced > 0 || h.moved || h.Suspect || h.dead || h.abandoned() {
+	var victim *trackedReservation
+	for _, res := range u.held {
+		if res.produced > 0 || res.wasVictim || res.Suspect || res.entryGone || res.abandoned() {
 			continue
 		}
-		if best == nil || h.Priority < best.Priority || (h.Priority == best.Priority && h.granted.After(best.granted)) {
-			best = h
+		if victim == nil || res.Priority < victim.Priority || (res.Priority == victim.Priority && res.grantedAt.After(victim.grantedAt)) {
+			victim = res
 		}
 	}
-	if best == nil {
+	if victim == nil {
 		return bramleytack.Reservation{}, false
 	}
-	best.moved = true
-	return best.Reservation, true
+	victim.wasVictim = true
+	return victim.Reservation, true
 }
 
-// share returns the forecast peak as a share of the memory.
-func (u *Upstream) share() float64 {
-	capacity := u.memory()
+// memoryShare returns the forecast peak as a share of the memory, or 0 if
+// memorySize is 0.
+func (u *Upstream) memoryShare() float64 {
+	capacity := u.memorySize()
 	if capacity <= 0 {
 		return 0
 	}
-	return u.sum.peak(&moments{}, u.cfg.MemoryZScore) / float64(capacity)
+	return u.forecast.peak(&memoryForecast{}, u.cfg.MemoryZScore) / float64(capacity)
 }
 
-func refusal(code bramleytack.Code, message string) *bramleytack.Error {
-	return bramleytack.NewError(code, bramleytack.NotRun, "%s", message).WithRetryAfter(retryAfter)
+func rejection(code bramleytack.Code, message string) *bramleytack.Error {
+	return bramleytack.NewError(code, bramleytack.NotRun, "%s", message).WithRetryAfter(defaultRetryAfter)
 }
--- a/btowner/upstream_test.go
+++ b/btowner/upstream_test.go
@@ -28,18 +28,18 @@
 	return bramleytack.Reservation{Grant: bramleytack.GrantID(id), Request: bramleytack.RequestID(id), Entry: "e", Priority: p, PromptTokens: 100, MaxTokens: 100}
 }
 
-// cluster simulates one engine with the entries that use it.
+// cluster simulates one engine, its owner and the entry daemons that use it.
 type cluster struct {
-	t       *rapid.T
-	limit   int
-	now     time.Time
-	owner   *Upstream
-	next    int
-	engine  map[bramleytack.RequestID]bramleytack.Reservation
-	run     int
-	asked   map[bramleytack.GrantID]time.Time
-	pending []bramleytack.Reservation
-	// live holds what entries that are alive hold, for Adopt.
+	t        *rapid.T
+	limit    int
+	now      time.Time
+	owner    *Upstream
+	next     int
+	engine   map[bramleytack.RequestID]bramleytack.Reservation
+	instance int
+	asked    map[bramleytack.GrantID]time.Time
+	pending  []bramleytack.Reservation
+	// live holds the reservations of entry daemons that are alive, for Adopt.
 	live    map[bramleytack.GrantID]bramleytack.Reservation
 	dead    map[bramleytack.HostID]bool
 	deaths  int
@@ -47,7 +47,7 @@
 }
 
 func (c *cluster) observe() {
-	r := bramleytack.LoadReport{Instance: bramleytack.InstanceID(fmt.Sprint(c.run)), At: c.now, Running: len(c.engine)}
+	r := bramleytack.LoadReport{Instance: bramleytack.InstanceID(fmt.Sprint(c.instance)), At: c.now, Running: len(c.engine)}
 	for id := range c.engine {
 		r.Generations = append(r.Generations, bramleytack.GenerationState{Request: id, Tokens: 1})
 	}
@@ -68,7 +68,7 @@
 	r := reservation(fmt.Sprint(c.next), bramleytack.Standard)
 	r.Entry = bramleytack.HostID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(c.t, "entry"))
 	r.Deadline = c.now.Add(30 * time.Second)
-	// An entry that died comes back under a new name.
+	// An entry daemon that died comes back under a new name.
 	r.Entry += bramleytack.HostID(fmt.Sprint(c.deaths))
 	if _, err := c.owner.Reserve(c.now, r); err == nil {
 		c.asked[r.Grant] = c.now
@@ -110,8 +110,8 @@
 	c.release(r, bramleytack.Ran)
 }
 
-// leave lets an entry abandon a request that the engine goes on with.
-func (c *cluster) leave() {
+// abandon lets an entry daemon abandon a request that the engine still runs.
+func (c *cluster) abandon() {
 	ids := slices.Sorted(maps.Keys(c.engine))
 	if len(ids) == 0 {
 		return
@@ -159,8 +159,9 @@
 	c.owner.Report(c.now, r)
 }
 
-// move makes another daemon the owner, after the leases of the old one.
-func (c *cluster) move() {
+// changeOwner makes another daemon the owner after the old one's view lease and
+// grants have expired.
+func (c *cluster) changeOwner() {
 	c.advance(3030 * time.Millisecond)
 	for len(c.pending) > 0 {
 		c.dispatch()
@@ -177,7 +178,7 @@
 }
 
 func (c *cluster) restart() {
-	c.run++
+	c.instance++
 	for _, id := range slices.Sorted(maps.Keys(c.engine)) {
 		r := c.engine[id]
 		delete(c.engine, id)
@@ -185,9 +186,10 @@
 	}
 }
 
-// Guards against an upstream that runs more than its limit, or an owner that
-// loses places for good, under any order of reservations, lost releases,
-// abandoned requests, lagging reports, deaths of entries and owners, and restarts.
+// Guards against an upstream that runs more than its limit, and an owner that
+// never drops a reservation, under any order of reservations, lost releases,
+// abandoned requests, lagging reports, deaths of entry daemons and owners, and
+// restarts.
 func TestNeverOverLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &cluster{
@@ -210,24 +212,24 @@
 					c.dispatch()
 				}
 			}),
-			"dispatch": act(c.dispatch),
-			"finish":   act(c.finish),
-			"leave":    act(c.leave),
-			"kill":     act(c.kill),
-			"observe":  act(c.observe),
-			"report":   act(c.report),
-			"fresh":    act(func() { c.observe(); c.report() }),
-			"move":     act(c.move),
-			"restart":  act(c.restart),
+			"dispatch":  act(c.dispatch),
+			"finish":    act(c.finish),
+			"leave":     act(c.abandon),
+			"kill":      act(c.kill),
+			"observe":   act(c.observe),
+			"report":    act(c.report),
+			"fresh":     act(func() { c.observe(); c.report() }),
+			"new owner": act(c.changeOwner),
+			"restart":   act(c.restart),
 			"wait": act(func() {
 				c.advance(time.Duration(rapid.IntRange(1, 3000).Draw(c.t, "ms")) * time.Millisecond)
 			}),
 			"": func(t *rapid.T) {
 				assert.Assert(t, len(c.engine) <= c.limit, "engine runs %d of %d", len(c.engine), c.limit)
-				assert.Assert(t, c.owner.foreign >= 0 && c.owner.sum.peak(&moments{}, 0) >= 0)
+				assert.Assert(t, c.owner.foreign >= 0 && c.owner.forecast.peak(&memoryForecast{}, 0) >= 0)
 			},
 		})
-		// All places come back once nothing runs any more.
+		// No reservation is left once nothing runs any more.
 		c.t = t
 		c.advance(2 * time.Minute)
 		clear(c.engine)
@@ -235,14 +237,14 @@
 		r := c.history[len(c.history)-1]
 		c.owner.Report(c.now, r)
 		assert.Equal(t, c.owner.Running(), 0)
-		assert.Equal(t, c.owner.sum, moments{})
+		assert.Equal(t, c.owner.forecast, memoryForecast{})
 	})
 }
 
-// Guards against the place of a generation that runs without its caller being
-// given away (TestColdAfterRestart: callers left before the first token, and a cold
-// engine got one generation more than it bears).
-func TestAbandonedRequestKeepsItsPlace(t *testing.T) {
+// Guards against dropping the reservation of a generation that still runs without
+// its caller. When callers left before the first token, a cold engine got one
+// generation more than it can run (TestColdAfterRestart).
+func TestAbandonedRequestKeepsReservation(t *testing.T) {
 	now := start
 	u := NewUpstream(Config{}, now, record(1, 0))
 	report := func(ids ...bramleytack.RequestID) {
@@ -265,15 +267,16 @@
 	report("1")
 	assert.Assert(t, !admits("3"), "the engine runs the abandoned generation")
 	report()
-	assert.Assert(t, admits("4"), "the place was lost")
+	assert.Assert(t, admits("4"), "the reservation was not dropped")
 }
 
-// Guards against wrong counts in single cases of late and lost messages.
+// Guards against wrong counts and limits in single cases of late, lost and
+// repeated messages.
 func TestMessages(t *testing.T) {
-	t.Run("a reservation after its release is refused", func(t *testing.T) {
+	t.Run("a reservation after its release is rejected", func(t *testing.T) {
 		u := newUpstream(1, 0)
 		u.Release(start, bramleytack.Release{Grant: "1"})
-		assertRefused(t, u, start, reservation("1", bramleytack.Standard))
+		assertRejected(t, u, start, reservation("1", bramleytack.Standard))
 		assert.Equal(t, u.Running(), 0)
 	})
 	t.Run("a repeated reservation and release count once", func(t *testing.T) {
@@ -287,15 +290,15 @@
 		}
 		assert.Equal(t, u.Running(), 0)
 	})
-	t.Run("an expired grant keeps its place", func(t *testing.T) {
+	t.Run("an expired grant keeps its reservation", func(t *testing.T) {
 		u := newUpstream(1, 0)
 		assertGranted(t, u, start, reservation("1", bramleytack.Standard))
-		assertRefused(t, u, start.Add(5*time.Second), reservation("2", bramleytack.Standard))
+		assertRejected(t, u, start.Add(5*time.Second), reservation("2", bramleytack.Standard))
 	})
 	t.Run("requests that only the report shows are counted", func(t *testing.T) {
 		u := newUpstream(2, 0)
 		u.Report(start, bramleytack.LoadReport{At: start, Running: 2})
-		assertRefused(t, u, start, reservation("1", bramleytack.Standard))
+		assertRejected(t, u, start, reservation("1", bramleytack.Standard))
 	})
 	t.Run("a lagging report does not count a finished request", func(t *testing.T) {
 		u := newUpstream(1, 0)
@@ -309,7 +312,7 @@
 		assertGranted(t, u, start, reservation("1", bramleytack.Standard))
 		u.Release(start.Add(time.Second), bramleytack.Release{Grant: "1"})
 		u.Report(start.Add(2*time.Second), bramleytack.LoadReport{At: start, Running: 1})
-		assertRefused(t, u, start.Add(2*time.Second), reservation("2", bramleytack.Standard))
+		assertRejected(t, u, start.Add(2*time.Second), reservation("2", bramleytack.Standard))
 	})
 	t.Run("an adopted reservation is counted once, and not after its release", func(t *testing.T) {
 		u := newUpstream(4, 0)
@@ -329,7 +332,7 @@
 		u.Report(start, bramleytack.LoadReport{At: start.Add(1), Instance: "b"})
 		assert.Equal(t, u.Digest(start).Limit, 1)
 	})
-	t.Run("in doubt a warm upstream gets what a cold one bears until a report", func(t *testing.T) {
+	t.Run("after a possible restart a warm upstream has its cold limit until a report", func(t *testing.T) {
 		u := newUpstream(4, 0)
 		u.record.ColdLimit = 2
 		u.ramp.Configure(btramp.Config{ColdLimit: 2, WarmLimit: 4})
@@ -340,14 +343,14 @@
 		u.Report(later, bramleytack.LoadReport{At: later})
 		assert.Equal(t, u.limit(later), 4)
 	})
-	t.Run("after a failure no place is refilled before a report", func(t *testing.T) {
+	t.Run("after a failure no slot is refilled before a report", func(t *testing.T) {
 		u := NewUpstream(Config{}, start, &bramleytack.Upstream{ColdLimit: 1, WarmLimit: 8})
 		u.Report(start, bramleytack.LoadReport{At: start, Instance: "a"})
 		u.Inherit(start, bramleytack.UpstreamDigest{Instance: "a", Level: 8, At: start})
 		assertGranted(t, u, start, reservation("1", bramleytack.Standard))
 		assertGranted(t, u, start, reservation("2", bramleytack.Standard))
 		u.Release(start, bramleytack.Release{Grant: "1", Failed: true})
-		assertRefused(t, u, start, reservation("3", bramleytack.Standard))
+		assertRejected(t, u, start, reservation("3", bramleytack.Standard))
 		u.Report(start.Add(time.Second), bramleytack.LoadReport{At: start.Add(time.Second), Instance: "a"})
 		assertGranted(t, u, start.Add(time.Second), reservation("4", bramleytack.Standard))
 	})
@@ -357,7 +360,7 @@
 		u.Report(start, bramleytack.LoadReport{At: start, Instance: "a"})
 		u.Inherit(start, bramleytack.UpstreamDigest{Instance: "a", Level: 8, At: start})
 		u.Configure(start, rec, true)
-		assertRefused(t, u, start, reservation("1", bramleytack.Standard))
+		assertRejected(t, u, start, reservation("1", bramleytack.Standard))
 		u.Configure(start, rec, false)
 		assert.Equal(t, u.Digest(start).Limit, 1)
 	})
@@ -370,9 +373,9 @@
 	})
 }
 
-// Guards against memory that is promised twice, batch work that takes the
-// headroom of interactive work or leaves capacity idle without it, suspects
-// beside other requests, and victims that lose delivered tokens.
+// Guards against memory that is reserved twice, batch work that takes the
+// headroom of interactive work or leaves capacity idle without it, suspect
+// requests beside other requests, and victims that lose delivered tokens.
 func TestAdmission(t *testing.T) {
 	fill := func(u *Upstream, p bramleytack.Priority, prefix string) int {
 		for n := 0; ; n++ {
@@ -395,17 +398,17 @@
 		assert.Equal(t, fill(u, bramleytack.Batch, "b"), 16)
 		assert.Equal(t, fill(u, bramleytack.Interactive, "i"), 3)
 	})
-	t.Run("a suspect runs alone", func(t *testing.T) {
+	t.Run("a suspect request runs alone", func(t *testing.T) {
 		u := newUpstream(8, 0)
 		suspect := reservation("s", bramleytack.Standard)
 		suspect.Suspect = true
 		assertGranted(t, u, start, reservation("1", bramleytack.Standard))
-		assertRefused(t, u, start, suspect)
+		assertRejected(t, u, start, suspect)
 		u.Release(start, bramleytack.Release{Grant: "1"})
 		assertGranted(t, u, start, suspect)
-		assertRefused(t, u, start, reservation("2", bramleytack.Standard))
+		assertRejected(t, u, start, reservation("2", bramleytack.Standard))
 	})
-	t.Run("an upstream drains for a suspect, for a limited time", func(t *testing.T) {
+	t.Run("an upstream drains for a suspect request, for a limited time", func(t *testing.T) {
 		u := newUpstream(8, 0)
 		suspect := reservation("s", bramleytack.Standard)
 		suspect.Suspect = true
@@ -413,11 +416,11 @@
 		now := start
 		ask := func(d time.Duration) {
 			for end := now.Add(d); now.Before(end); now = now.Add(500 * time.Millisecond) {
-				assertRefused(t, u, now, suspect)
+				assertRejected(t, u, now, suspect)
 			}
 		}
 		ask(5 * time.Second)
-		assertRefused(t, u, now, reservation("2", bramleytack.Standard))
+		assertRejected(t, u, now, reservation("2", bramleytack.Standard))
 		ask(20 * time.Second)
 		assertGranted(t, u, now, reservation("3", bramleytack.Standard))
 		for _, id := range []bramleytack.GrantID{"1", "3"} {
@@ -452,21 +455,21 @@
 	assert.NilError(t, err)
 }
 
-func assertRefused(t *testing.T, u *Upstream, now time.Time, r bramleytack.Reservation) {
+func assertRejected(t *testing.T, u *Upstream, now time.Time, r bramleytack.Reservation) {
 	t.Helper()
 	_, err := u.Reserve(now, r)
 	assert.Assert(t, err != nil)
 	assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
 }
 
-// Long requests took the places of a cold upstream, which then stayed cold for
-// minutes.
-func TestColdUpstreamIsKeptForShortRequests(t *testing.T) {
+// Guards against long requests that fill up a cold upstream, which then stays
+// cold for minutes.
+func TestColdUpstreamTakesShortRequests(t *testing.T) {
 	now := time.Unix(0, 0)
 	u := NewUpstream(Config{WithoutReports: true}, now, record(8, 1<<20))
-	const usual, batch = 10 * time.Millisecond, 8
+	const step, running = 10 * time.Millisecond, 8
 	for range 16 {
-		u.ramp.ObserveStep(now, batch, usual)
+		u.ramp.ObserveStep(now, running, step)
 	}
 	u.Configure(now, &bramleytack.Upstream{Kind: bramleytack.KindEngine, ColdLimit: 4, WarmLimit: 8, MemoryTokens: 1 << 20}, false)
 	u.ramp.Reset(now, btramp.Restarted)
@@ -474,11 +477,11 @@
 		_, err := u.Reserve(now, bramleytack.Reservation{Grant: bramleytack.GrantID(id), PromptTokens: 1, MaxTokens: maxTokens})
 		return err
 	}
-	assert.ErrorContains(t, reserve("long before any short", 1000), "kept for short requests")
-	now = now.Add(shortRecent - 1)
+	assert.ErrorContains(t, reserve("long before any short", 1000), "takes only short requests")
+	now = now.Add(shortPreference - 1)
 	assert.NilError(t, reserve("short", 10))
 	now = now.Add(1)
-	assert.ErrorContains(t, reserve("long", 1000), "kept for short requests")
-	now = now.Add(shortRecent)
+	assert.ErrorContains(t, reserve("long", 1000), "takes only short requests")
+	now = now.Add(shortPreference)
 	assert.NilError(t, reserve("long without short ones", 1000))
 }
