--- a/btqueue/filter.go
+++ b/btqueue/filter.go
@@ -14,69 +14,74 @@
 	defaultMaxWaiting = 4096
 	defaultMaxBytes   = 32 << 20
 	defaultMaxWait    = 2 * time.Minute
-	// probeAfter is the time without events after which one waiter tries
-	// anyway, since room may have been made that this entry did not see.
-	probeAfter = 500 * time.Millisecond
-	// callCost is the cost of a call, which has no tokens.
+	// probeInterval is the time without events after which one waiter tries
+	// anyway, since capacity may have become free without an event at this
+	// entry daemon.
+	probeInterval = 500 * time.Millisecond
+	// callCost is the cost, in tokens, of a call of a plain service.
 	callCost = 64
-	// outputCost is the cost of an output of unknown length.
-	outputCost = 512
-	// requestOverhead is the memory of a waiting request beside its content.
+	// defaultOutputCost is the number of tokens that the cost assumes for an
+	// output, unless MaxTokens is smaller.
+	defaultOutputCost = 512
+	// requestOverhead is the memory of a waiting request in bytes, without its
+	// prompt and body.
 	requestOverhead = 1024
 )
 
-// Filter lets requests wait for capacity.
+// Filter lets requests wait for capacity. Timer and Snapshots must be set. It is
+// safe for concurrent use.
 type Filter struct {
 	Timer     bramleytack.Timer
 	Snapshots bramleytack.Snapshots
-	// MaxWaiting, MaxBytes and MaxWait bound what waits. Zero fields take
-	// defaults.
+	// MaxWaiting and MaxBytes bound the number and the size of the waiting
+	// requests, and MaxWait the wait of each. Zero fields take defaults.
 	MaxWaiting int
 	MaxBytes   int
 	MaxWait    time.Duration
-	// Cost returns the forecast tokens of a request. It may be nil.
+	// Cost returns the forecast tokens of a request. If it is nil, the cost
+	// comes from the prompt and MaxTokens.
 	Cost func(*bramleytack.Request) float64
-	// Park blocks a waiting request until ready returns true. A simulation
-	// that runs all requests on one goroutine sets it. A nil Park blocks in a
-	// select.
+	// Park blocks a waiting request until ready returns true. It is nil except
+	// in simulations that run all requests on one goroutine.
 	Park func(ready func() bool)
 
 	mu      sync.Mutex
-	lanes   map[string]*lane
+	queues  map[string]*targetQueue
 	active  map[*bramleytack.Request]*waiter
 	waiting int
 	bytes   int
 }
 
-// Handle passes the request on when it is its turn, until it is not refused
-// for lack of room.
+// Handle passes the request on when the schedule selects it, and again for as
+// long as it is rejected for lack of capacity.
 func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call {
 		return next.Handle(ctx, r, w)
 	}
-	x := &waiter{Item: f.item(r), turn: make(chan turn, 1)}
-	if err := f.enter(r, x); err != nil {
+	pending := &waiter{Item: f.newItem(r), signal: make(chan signal, 1)}
+	if err := f.admitOrEnqueue(r, pending); err != nil {
 		return err
 	}
-	limit := f.Timer.After(f.maxWait(r, x.Arrived))
-	defer limit.Stop()
+	timeout := f.Timer.After(f.maxWait(r, pending.Arrived))
+	defer timeout.Stop()
 	for {
-		if err := f.wait(ctx, r, x, limit); err != nil {
+		if err := f.wait(ctx, r, pending, timeout); err != nil {
 			return err
 		}
 		err := next.Handle(ctx, r, w)
-		if !full(err) || ctx.Err() != nil {
-			f.end(r, x)
+		if !isCapacityError(err) || ctx.Err() != nil {
+			f.end(r, pending)
 			return err
 		}
-		if e := f.refused(r, x, bramleytack.AsError(err)); e != nil {
+		if e := f.requeue(r, pending, bramleytack.AsError(err)); e != nil {
 			return e
 		}
 	}
 }
 
-// full says whether an error means that a place may come free later.
-func full(err error) bool {
+// isCapacityError reports whether the request did not run and may succeed when
+// capacity becomes free.
+func isCapacityError(err error) bool {
 	if err == nil || bramleytack.OutcomeOf(err) != bramleytack.NotRun {
 		return false
 	}
@@ -84,7 +89,7 @@
 	return code == bramleytack.CodeOverloaded || code == bramleytack.CodeNoUpstream
 }
 
-func (f *Filter) item(r *bramleytack.Request) Item {
+func (f *Filter) newItem(r *bramleytack.Request) Item {
 	i := Item{
 		Workspace: r.Workspace,
 		Priority:  r.Priority,
@@ -106,9 +111,9 @@
 	case r.Kind == bramleytack.Call:
 		return callCost
 	case r.MaxTokens > 0:
-		return float64(r.PromptTokens() + min(r.MaxTokens, outputCost))
+		return float64(r.PromptTokens() + min(r.MaxTokens, defaultOutputCost))
 	default:
-		return float64(r.PromptTokens() + outputCost)
+		return float64(r.PromptTokens() + defaultOutputCost)
 	}
 }
 
@@ -121,126 +126,135 @@
 	return max(d, 0)
 }
 
-func (f *Filter) lane(r *bramleytack.Request) *lane {
+// queueFor returns the queue of the request's model or service. The caller holds
+// mu.
+func (f *Filter) queueFor(r *bramleytack.Request) *targetQueue {
 	key := "model/" + r.Model
 	if r.Kind == bramleytack.Call {
 		key = "service/" + r.Service
 	}
-	if f.lanes == nil {
-		f.lanes = make(map[string]*lane)
+	if f.queues == nil {
+		f.queues = make(map[string]*targetQueue)
 		f.active = make(map[*bramleytack.Request]*waiter)
 	}
-	l, ok := f.lanes[key]
+	q, ok := f.queues[key]
 	if !ok {
 		f.dropIdle()
-		l = &lane{waiters: make(map[*Item]*waiter)}
-		f.lanes[key] = l
+		q = &targetQueue{waiters: make(map[*Item]*waiter)}
+		f.queues[key] = q
 	}
-	return l
+	return q
 }
 
-// maxIdleLanes bounds the lanes that requests with unknown names leave behind.
-const maxIdleLanes = 256
+// maxIdleQueues is the number of queues from which on idle ones are dropped. It
+// bounds the queues of requests with unknown names.
+const maxIdleQueues = 256
 
 func (f *Filter) dropIdle() {
-	if len(f.lanes) < maxIdleLanes {
+	if len(f.queues) < maxIdleQueues {
 		return
 	}
-	for k, l := range f.lanes {
-		if l.idle() {
-			delete(f.lanes, k)
+	for k, q := range f.queues {
+		if q.idle() {
+			delete(f.queues, k)
 		}
 	}
 }
 
-// enter lets a request try at once, queues it, or refuses it.
-func (f *Filter) enter(r *bramleytack.Request, w *waiter) error {
+// admitOrEnqueue lets a request try at once, queues it, or rejects it.
+func (f *Filter) admitOrEnqueue(r *bramleytack.Request, w *waiter) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.lane = f.lane(r)
+	w.queue = f.queueFor(r)
 	f.active[r] = w
-	if w.lane.enter(w) {
-		w.turn <- try
+	if w.queue.tryAtOnce(w) {
+		w.signal <- signalTry
 		return nil
 	}
-	return f.queue(r, w, w.Arrived)
+	return f.enqueue(r, w, w.Arrived)
 }
 
-// queue adds a waiter within the bounds. The caller holds mu.
-func (f *Filter) queue(r *bramleytack.Request, w *waiter, now time.Time) error {
-	l := w.lane
-	if d := l.expected(&w.Item); d > f.maxWait(r, now) {
-		return f.reject(r, w, d, "no place is expected before the deadline")
+// enqueue adds a waiter, or rejects its request if it would wait too long or
+// exceed the bounds. The caller holds mu.
+func (f *Filter) enqueue(r *bramleytack.Request, w *waiter, now time.Time) error {
+	q := w.queue
+	if d := q.expectedWait(&w.Item); d > f.maxWait(r, now) {
+		return f.reject(r, w, d, "no free capacity is expected in time")
 	}
-	if !f.makeRoom(w) {
-		return f.reject(r, w, l.expected(&w.Item), "queue is full")
+	if !f.evictFor(w) {
+		return f.reject(r, w, q.expectedWait(&w.Item), "queue is full")
 	}
-	l.push(w)
-	f.count(l)
+	q.push(w)
+	f.updateTotals(q)
 	return nil
 }
 
-// makeRoom evicts waiters behind w until w fits, and says whether it does.
-func (f *Filter) makeRoom(w *waiter) bool {
+// evictFor evicts waiters that rank behind w until w fits into the bounds. It
+// returns false if w does not fit.
+func (f *Filter) evictFor(w *waiter) bool {
 	for f.waiting >= cmp.Or(f.MaxWaiting, defaultMaxWaiting) || f.bytes+w.Bytes > cmp.Or(f.MaxBytes, defaultMaxBytes) {
-		worst := w.lane.schedule.Worst(&w.Item)
+		worst := w.queue.schedule.EvictionCandidate(&w.Item)
 		if worst == nil {
 			return false
 		}
-		f.evict(w.lane, worst)
+		f.evict(w.queue, worst)
 	}
 	return true
 }
 
-func (f *Filter) evict(l *lane, i *Item) {
-	x := l.waiters[i]
-	l.leave(x)
-	x.turn <- evicted
-	f.count(l)
+func (f *Filter) evict(q *targetQueue, i *Item) {
+	w := q.waiters[i]
+	q.remove(w)
+	w.signal <- signalEvicted
+	f.updateTotals(q)
 }
 
-// count brings the totals up to date with a lane. The caller holds mu.
-func (f *Filter) count(l *lane) {
-	f.waiting += l.schedule.Len() - l.counted
-	f.bytes += l.schedule.Bytes() - l.countedBytes
-	l.counted, l.countedBytes = l.schedule.Len(), l.schedule.Bytes()
+// updateTotals adds to the totals what changed in a queue since the last call. The
+// caller holds mu.
+func (f *Filter) updateTotals(q *targetQueue) {
+	f.waiting += q.schedule.Len() - q.counted
+	f.bytes += q.schedule.Bytes() - q.countedBytes
+	q.counted, q.countedBytes = q.schedule.Len(), q.schedule.Bytes()
 }
 
+// reject forgets a request and returns its error.
 func (f *Filter) reject(r *bramleytack.Request, w *waiter, after time.Duration, message string) error {
-	w.lane.schedule.Remove(&w.Item)
+	w.queue.schedule.Remove(&w.Item)
 	delete(f.active, r)
 	return bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "%s", message).
 		WithRetryAfter(max(after, time.Second))
 }
 
-// wait returns nil when it is the request's turn.
-func (f *Filter) wait(ctx context.Context, r *bramleytack.Request, w *waiter, limit bramleytack.Alarm) error {
+// wait returns nil when the request may try.
+func (f *Filter) wait(ctx context.Context, r *bramleytack.Request, w *waiter, timeout bramleytack.Alarm) error {
 	select {
-	case t := <-w.turn:
-		return f.turned(r, t)
+	case s := <-w.signal:
+		return f.handleSignal(r, s)
 	default:
 	}
 	if f.Park != nil {
-		f.Park(func() bool { return len(w.turn) > 0 || len(limit.C()) > 0 || ctx.Err() != nil })
+		f.Park(func() bool { return len(w.signal) > 0 || len(timeout.C()) > 0 || ctx.Err() != nil })
 	}
 	select {
-	case t := <-w.turn:
-		return f.turned(r, t)
+	case s := <-w.signal:
+		return f.handleSignal(r, s)
 	case <-ctx.Done():
-		f.abandon(r, w)
-		return bramleytack.NewError(bramleytack.CodeCanceled, bramleytack.NotRun, "client left the queue").WithCause(ctx.Err())
-	case <-limit.C():
-		f.abandon(r, w)
+		f.leave(r, w)
+		return bramleytack.NewError(bramleytack.CodeCanceled, bramleytack.NotRun, "request was canceled while it waited").WithCause(ctx.Err())
+	case <-timeout.C():
+		f.leave(r, w)
 		code := bramleytack.CodeOverloaded
 		if !r.Deadline.IsZero() && !f.Timer.Now().Before(r.Deadline) {
 			code = bramleytack.CodeTimeout
 		}
-		return bramleytack.NewError(code, bramleytack.NotRun, "no place came free in time").WithRetryAfter(time.Second)
+		return bramleytack.NewError(code, bramleytack.NotRun, "no capacity became free in time").WithRetryAfter(time.Second)
 	}
 }
 
-func (f *Filter) turned(r *bramleytack.Request, t turn) error {
-	if t == try {
+// handleSignal returns nil if the request may try. Otherwise it was evicted, and
+// handleSignal forgets it and returns its error.
+func (f *Filter) handleSignal(r *bramleytack.Request, s signal) error {
+	if s == signalTry {
 		return nil
 	}
 	f.mu.Lock()
@@ -249,80 +263,88 @@
 	return bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "queue is full").WithRetryAfter(time.Second)
 }
 
-// abandon takes a request out. A turn that it got meanwhile goes to another.
-func (f *Filter) abandon(r *bramleytack.Request, w *waiter) {
+// leave removes a request that no longer waits. If it was selected meanwhile,
+// the next one is selected instead.
+func (f *Filter) leave(r *bramleytack.Request, w *waiter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.active, r)
 	select {
-	case t := <-w.turn:
-		if t == try {
-			w.lane.end(f.Timer.Now(), w)
+	case s := <-w.signal:
+		if s == signalTry {
+			w.queue.recordEnd(f.Timer.Now(), w)
 		}
 	default:
-		w.lane.leave(w)
+		w.queue.remove(w)
 	}
-	f.count(w.lane)
+	f.updateTotals(w.queue)
 }
 
-// refused puts a request back into the queue.
-func (f *Filter) refused(r *bramleytack.Request, w *waiter, cause *bramleytack.Error) error {
+// requeue puts a request back into the queue after it was rejected with cause. It
+// returns cause if the request may not wait any longer or does not fit.
+func (f *Filter) requeue(r *bramleytack.Request, w *waiter, cause *bramleytack.Error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Timer.Now()
-	if f.maxWait(r, w.Arrived) <= now.Sub(w.Arrived) || !f.makeRoom(w) {
+	if f.maxWait(r, w.Arrived) <= now.Sub(w.Arrived) || !f.evictFor(w) {
 		delete(f.active, r)
-		w.lane.end(now, w)
+		w.queue.recordEnd(now, w)
 		return cause
 	}
-	w.lane.refuse(now, w)
-	f.count(w.lane)
+	w.queue.requeue(now, w)
+	f.updateTotals(w.queue)
 	return nil
 }
 
+// end forgets a request that ended, or that failed for another reason than a lack
+// of capacity.
 func (f *Filter) end(r *bramleytack.Request, w *waiter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.active, r)
-	w.lane.end(f.Timer.Now(), w)
-	f.count(w.lane)
+	w.queue.recordEnd(f.Timer.Now(), w)
+	f.updateTotals(w.queue)
 }
 
-// Granted tells the queue that a request got a place. The route step calls it.
+// Granted records that an owner granted capacity for a request. The route filter
+// calls it.
 func (f *Filter) Granted(r *bramleytack.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w, ok := f.active[r]; ok {
-		w.lane.grant(f.Timer.Now(), w)
-		f.count(w.lane)
+		w.queue.recordGrant(f.Timer.Now(), w)
+		f.updateTotals(w.queue)
 	}
 }
 
-// Wake tells the queue that a model has room for n more requests.
+// Wake lets up to n waiting requests of a model try, because it may have free
+// capacity for them.
 func (f *Filter) Wake(model string, n int) { f.wake("model/"+model, n) }
 
-// WakeService tells the queue that a service has room for n more requests.
+// WakeService lets up to n waiting requests of a plain service try, because it
+// may have free capacity for them.
 func (f *Filter) WakeService(service string, n int) { f.wake("service/"+service, n) }
 
 func (f *Filter) wake(key string, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l, ok := f.lanes[key]; ok {
-		l.room(f.Timer.Now(), n)
-		f.count(l)
+	if q, ok := f.queues[key]; ok {
+		q.capacityFreed(f.Timer.Now(), n)
+		f.updateTotals(q)
 	}
 }
 
-// Tick lets one waiter try in each lane that has seen no event for a while.
+// Tick lets one waiter try in each queue without an event for probeInterval. It
+// is called a few times a second.
 func (f *Filter) Tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Timer.Now()
-	for _, l := range f.lanes {
-		if l.trying == 0 && now.Sub(l.eventAt) >= probeAfter {
-			l.eventAt = now
-			l.next(now, 1)
-			f.count(l)
+	for _, q := range f.queues {
+		if q.trying == 0 && now.Sub(q.lastEventAt) >= probeInterval {
+			q.lastEventAt = now
+			q.wakeNext(now, 1)
+			f.updateTotals(q)
 		}
 	}
 }
--- a/btqueue/filter_test.go
+++ b/btqueue/filter_test.go
@@ -19,16 +19,16 @@
 
 func (snapshots) Snapshot() *bramleytack.Snapshot { return &bramleytack.Snapshot{} }
 
-// places is an upstream with a fixed number of places.
-type places struct {
+// limitedUpstream is an upstream with a fixed number of slots.
+type limitedUpstream struct {
 	queue *Filter
 	free  atomic.Int64
 	work  func() time.Duration
-	// reserve is how long a reservation takes.
+	// reserve is how long it takes to get a grant or a rejection.
 	reserve time.Duration
 }
 
-func (p *places) Handle(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
+func (p *limitedUpstream) Handle(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 	left := p.free.Add(-1)
 	time.Sleep(p.reserve)
 	if left < 0 {
@@ -41,12 +41,12 @@
 	return nil
 }
 
-func setup(t *testing.T, n int64, work func() time.Duration) (*Filter, *places) {
+func setup(t *testing.T, n int64, work func() time.Duration) (*Filter, *limitedUpstream) {
 	t.Helper()
 	timers := bttimer.New(1)
 	t.Cleanup(timers.Close)
 	f := &Filter{Timer: timers, Snapshots: snapshots{}, MaxWait: time.Hour}
-	p := &places{queue: f, work: work}
+	p := &limitedUpstream{queue: f, work: work}
 	p.free.Store(n)
 	return f, p
 }
@@ -55,8 +55,8 @@
 	return &bramleytack.Request{Kind: bramleytack.Generate, Model: "m", Workspace: "w"}
 }
 
-// Guards against lost wakeups: without any tick, all requests get through, and
-// in the time that the places need when none is left idle.
+// Guards against lost wakeups: without any tick, all requests run, in the time
+// that the slots need if none is idle while requests wait.
 func TestNoLostWakeup(t *testing.T) {
 	const n, free = 200, 4
 	for seed := range uint64(20) {
@@ -91,22 +91,22 @@
 			}
 			wg.Wait()
 			assert.Assert(t, done.Load() >= n*9/10)
-			// Each place works 5.5 ms on average; refused tries cost at most
-			// one reservation time before the next one.
+			// Each slot is busy for 5.5 ms per request on average. A rejected
+			// try delays the next one by the time of one reservation at most.
 			most := n / free * 7 * time.Millisecond
 			assert.Assert(t, time.Since(begin) < most, "took %v, at most %v", time.Since(begin), most)
 			assert.Equal(t, f.Waiting(), 0)
 			assert.Equal(t, f.bytes, 0)
 			assert.Equal(t, len(f.active), 0)
-			assert.Assert(t, f.lanes["model/m"].idle())
+			assert.Assert(t, f.queues["model/m"].idle())
 		})
 	}
 }
 
-// Guards against waiting past the bounds, and against refusals that are not
-// typed as not run.
+// Guards against waiting beyond the bounds, and against rejections without the
+// outcome NotRun.
 func TestBounds(t *testing.T) {
-	run := func(name string, body func(t *testing.T, f *Filter, p *places)) {
+	run := func(name string, body func(t *testing.T, f *Filter, p *limitedUpstream)) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f, p := setup(t, 1, func() time.Duration { return time.Minute })
@@ -117,18 +117,18 @@
 			})
 		})
 	}
-	run("deadline", func(t *testing.T, f *Filter, p *places) {
+	run("deadline", func(t *testing.T, f *Filter, p *limitedUpstream) {
 		r := request()
 		r.Deadline = time.Now().Add(5 * time.Second)
 		begin := time.Now()
 		assertCode(t, f.Handle(t.Context(), r, nil, p), bramleytack.CodeTimeout)
 		assert.Equal(t, time.Since(begin), 5*time.Second)
 	})
-	run("longest wait", func(t *testing.T, f *Filter, p *places) {
+	run("longest wait", func(t *testing.T, f *Filter, p *limitedUpstream) {
 		f.MaxWait = time.Second
 		assertCode(t, f.Handle(t.Context(), request(), nil, p), bramleytack.CodeOverloaded)
 	})
-	run("count, with eviction by priority", func(t *testing.T, f *Filter, p *places) {
+	run("count, with eviction by priority", func(t *testing.T, f *Filter, p *limitedUpstream) {
 		f.MaxWaiting = 1
 		evicted := make(chan error, 1)
 		go func() { evicted <- f.Handle(t.Context(), request(), nil, p) }()
@@ -139,18 +139,18 @@
 		go func() { _ = f.Handle(t.Context(), high, nil, p) }()
 		assertCode(t, <-evicted, bramleytack.CodeOverloaded)
 	})
-	run("bytes", func(t *testing.T, f *Filter, p *places) {
+	run("bytes", func(t *testing.T, f *Filter, p *limitedUpstream) {
 		f.MaxBytes = 100
 		assertCode(t, f.Handle(t.Context(), request(), nil, p), bramleytack.CodeOverloaded)
 	})
-	run("client leaves", func(t *testing.T, f *Filter, p *places) {
+	run("caller cancels", func(t *testing.T, f *Filter, p *limitedUpstream) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assertCode(t, f.Handle(ctx, request(), nil, p), bramleytack.CodeCanceled)
 		assert.Equal(t, f.Waiting(), 0)
 	})
-	run("no place expected in time", func(t *testing.T, f *Filter, p *places) {
-		f.lanes["model/m"].interval = time.Minute
+	run("no capacity expected in time", func(t *testing.T, f *Filter, p *limitedUpstream) {
+		f.queues["model/m"].grantInterval = time.Minute
 		go func() { _ = f.Handle(t.Context(), request(), nil, p) }()
 		synctest.Wait()
 		r := request()
@@ -159,7 +159,7 @@
 		assertCode(t, f.Handle(t.Context(), r, nil, p), bramleytack.CodeOverloaded)
 		assert.Equal(t, time.Since(begin), time.Duration(0))
 	})
-	run("room that only a tick finds", func(t *testing.T, f *Filter, p *places) {
+	run("capacity that only a tick finds", func(t *testing.T, f *Filter, p *limitedUpstream) {
 		done := make(chan error, 1)
 		go func() { done <- f.Handle(t.Context(), request(), nil, p) }()
 		synctest.Wait()
--- a/btqueue/schedule.go
+++ b/btqueue/schedule.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// agedAfter is the wait that raises a request's priority by one.
-	agedAfter = 10 * time.Second
-	// agedEvery bounds the share of requests that are taken ahead of a higher
-	// priority to one in this many.
-	agedEvery = 8
-	// maxFlows is the number of idle workspaces that a class remembers.
-	maxFlows = 4096
+	// agingStep is the wait that raises the priority of a request by one.
+	agingStep = 10 * time.Second
+	// agingInterval is the number of requests of which at most one is taken ahead
+	// of a higher priority because of its age.
+	agingInterval = 8
+	// maxIdleWorkspaces is the number of workspaces above which a class forgets
+	// idle ones.
+	maxIdleWorkspaces = 4096
 )
 
 // Item is a waiting request.
@@ -23,36 +24,41 @@
 	Priority  bramleytack.Priority
 	// Weight is the workspace's share. Zero counts as 1.
 	Weight float64
-	// Cost is the request's forecast size in tokens.
-	Cost    float64
+	// Cost is the request's forecast prompt and output in tokens.
+	Cost float64
+	// Bytes is the memory that the request uses while it waits.
 	Bytes   int
 	Arrived time.Time
 
+	// start and finish are the tags of start-time fair queueing, in tokens
+	// divided by weight.
 	start  float64
 	finish float64
-	// index is the place in the class's heap, or -1.
+	// index is the position in the class's heap, or -1.
 	index int
 }
 
-// Schedule orders items. It is not safe for concurrent use.
+// Schedule orders items. Its zero value is empty. It is not safe for concurrent
+// use.
 type Schedule struct {
 	classes [bramleytack.Priorities]class
 	len     int
 	bytes   int
-	// sinceAged counts items since the last one that was taken by its age.
-	sinceAged int
+	// popsSinceAged counts the items taken since the last one that was taken
+	// because of its age.
+	popsSinceAged int
 }
 
 // class is a start-time fair queue over the workspaces of one priority.
 type class struct {
 	items itemHeap
-	// virtual is the largest start tag of an item that was taken.
-	virtual float64
-	// flows holds the finish tag of each workspace's last item.
-	flows map[bramleytack.WorkspaceID]float64
+	// virtualTime is the largest start tag of the items taken so far.
+	virtualTime float64
+	// lastFinish holds the finish tag of each workspace's last item.
+	lastFinish map[bramleytack.WorkspaceID]float64
 }
 
-// Len returns the number of waiting items, Bytes their size.
+// Len returns the number of waiting items.
 func (s *Schedule) Len() int { return s.len }
 
 // Bytes returns the size of the waiting items.
@@ -62,68 +68,69 @@
 	return &s.classes[min(int(i.Priority), len(s.classes)-1)]
 }
 
-// Stamp gives an item its place in the fair order. Each item is stamped once,
-// whether it waits or not.
-func (s *Schedule) Stamp(i *Item) {
+// AssignTags sets an item's start and finish tags, which order it within its
+// class. It is called once for each item, whether the item has to wait or not.
+func (s *Schedule) AssignTags(i *Item) {
 	c := s.class(i)
-	if c.flows == nil {
-		c.flows = make(map[bramleytack.WorkspaceID]float64)
+	if c.lastFinish == nil {
+		c.lastFinish = make(map[bramleytack.WorkspaceID]float64)
 	}
-	if len(c.flows) > maxFlows {
-		c.prune()
+	if len(c.lastFinish) > maxIdleWorkspaces {
+		c.forgetIdle()
 	}
 	weight := i.Weight
 	if weight <= 0 {
 		weight = 1
 	}
 	i.index = -1
-	i.start = max(c.virtual, c.flows[i.Workspace])
+	i.start = max(c.virtualTime, c.lastFinish[i.Workspace])
 	i.finish = i.start + max(i.Cost, 1)/weight
-	c.flows[i.Workspace] = i.finish
+	c.lastFinish[i.Workspace] = i.finish
 }
 
-// prune forgets workspaces whose last item would not delay a new one.
-func (c *class) prune() {
-	for w, finish := range c.flows {
-		if finish <= c.virtual {
-			delete(c.flows, w)
+// forgetIdle forgets workspaces whose last item would not delay a new one.
+func (c *class) forgetIdle() {
+	for w, finish := range c.lastFinish {
+		if finish <= c.virtualTime {
+			delete(c.lastFinish, w)
 		}
 	}
 }
 
-// Push adds a stamped item. An item that was taken may be pushed again and
-// keeps its place.
+// Push adds an item that has its tags. An item that was taken may be pushed again
+// and keeps its tags.
 func (s *Schedule) Push(i *Item) {
 	heap.Push(&s.class(i).items, i)
 	s.len++
 	s.bytes += i.Bytes
 }
 
-// Take records that a stamped item that is not waiting goes ahead.
-func (s *Schedule) Take(i *Item) {
+// AdvanceVirtualTime records that an item was taken. Pop calls it; for an item
+// that does not wait, the caller does.
+func (s *Schedule) AdvanceVirtualTime(i *Item) {
 	c := s.class(i)
-	c.virtual = max(c.virtual, i.start)
+	c.virtualTime = max(c.virtualTime, i.start)
 }
 
-// Pop removes the next item, or returns nil.
+// Pop removes and returns the next item. It returns nil if none waits.
 func (s *Schedule) Pop(now time.Time) *Item {
 	top := s.top()
 	if top == nil {
 		return nil
 	}
 	best := top
-	if s.sinceAged++; s.sinceAged >= agedEvery {
-		best = s.aged(now, top)
+	if s.popsSinceAged++; s.popsSinceAged >= agingInterval {
+		best = s.firstAged(now, top)
 	}
 	if best != top {
-		s.sinceAged = 0
+		s.popsSinceAged = 0
 	}
 	s.remove(best)
-	s.Take(best)
+	s.AdvanceVirtualTime(best)
 	return best
 }
 
-// top returns the first item of the highest class that has one.
+// top returns the first item of the highest class that has one, or nil.
 func (s *Schedule) top() *Item {
 	for p := len(s.classes) - 1; p >= 0; p-- {
 		if items := s.classes[p].items; len(items) > 0 {
@@ -133,9 +140,9 @@
 	return nil
 }
 
-// aged returns the first item of a lower class whose age has raised it to the
-// priority of top, the oldest one if there are more.
-func (s *Schedule) aged(now time.Time, top *Item) *Item {
+// firstAged returns the first item of a lower class whose age has raised it to the
+// priority of top, the oldest of several, or top if there is none.
+func (s *Schedule) firstAged(now time.Time, top *Item) *Item {
 	best := top
 	for p := range s.classes {
 		items := s.classes[p].items
@@ -143,7 +150,7 @@
 			continue
 		}
 		i := items[0]
-		steps := int(now.Sub(i.Arrived) / agedAfter)
+		steps := int(now.Sub(i.Arrived) / agingStep)
 		if int(i.Priority)+steps >= int(top.Priority) && (best == top || i.Arrived.Before(best.Arrived)) {
 			best = i
 		}
@@ -151,13 +158,13 @@
 	return best
 }
 
-// Remove takes a waiting item out without running it. The workspace is not
-// charged if nothing of it was stamped later.
+// Remove removes an item that will not run. Its cost is returned to the workspace
+// unless a later item of the workspace already has its tags.
 func (s *Schedule) Remove(i *Item) {
 	s.remove(i)
 	c := s.class(i)
-	if c.flows[i.Workspace] == i.finish {
-		c.flows[i.Workspace] = i.start
+	if c.lastFinish[i.Workspace] == i.finish {
+		c.lastFinish[i.Workspace] = i.start
 	}
 }
 
@@ -170,9 +177,10 @@
 	s.bytes -= i.Bytes
 }
 
-// Worst returns the waiting item that gives way to i when there is no room:
-// the last one of the lowest class up to i's own, if it is behind i.
-func (s *Schedule) Worst(i *Item) *Item {
+// EvictionCandidate returns the waiting item to evict so that i can wait: the last
+// one of the lowest class that has any, if it ranks behind i. Otherwise it
+// returns nil.
+func (s *Schedule) EvictionCandidate(i *Item) *Item {
 	for p := range s.classes {
 		items := s.classes[p].items
 		if len(items) == 0 {
@@ -192,8 +200,9 @@
 	return nil
 }
 
-// Ahead returns the number of waiting items of i's priority and above.
-func (s *Schedule) Ahead(i *Item) int {
+// CountAhead returns the number of waiting items that rank ahead of i or equal to
+// it.
+func (s *Schedule) CountAhead(i *Item) int {
 	n := 0
 	for p := int(i.Priority); p < len(s.classes); p++ {
 		for _, x := range s.classes[p].items {
--- a/btqueue/schedule_test.go
+++ b/btqueue/schedule_test.go
@@ -12,9 +12,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Guards against a workspace that gets more than its weight while others wait:
-// the service of two waiting workspaces, divided by their weights, differs by
-// one item of each at most.
+// Guards against a workspace that gets more than its weight while others wait.
+// The cost served for two waiting workspaces, divided by their weights, differs
+// by at most one item of each.
 func TestFairness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Schedule
@@ -25,7 +25,7 @@
 			for w, weight := range weights {
 				i := &Item{Workspace: w, Weight: weight, Cost: float64(rapid.IntRange(1, 1000).Draw(t, "cost"))}
 				largest[w] = max(largest[w], i.Cost)
-				s.Stamp(i)
+				s.AssignTags(i)
 				s.Push(i)
 			}
 		}
@@ -45,12 +45,12 @@
 	})
 }
 
-// Guards against an idle workspace that saves up service, batch work that is
-// starved, and aged batch work that takes more than its share.
+// Guards against an idle workspace that earns credit, batch work that starves,
+// and aged batch work that takes more than its share.
 func TestOrder(t *testing.T) {
 	push := func(s *Schedule, w string, p bramleytack.Priority, at time.Time) *Item {
 		i := &Item{Workspace: bramleytack.WorkspaceID(w), Priority: p, Cost: 10, Bytes: 5, Arrived: at}
-		s.Stamp(i)
+		s.AssignTags(i)
 		s.Push(i)
 		return i
 	}
@@ -87,18 +87,18 @@
 			return batch
 		}
 		assert.Equal(t, count(start.Add(time.Second)), 0)
-		assert.Equal(t, count(start.Add(time.Minute)), 40/agedEvery)
+		assert.Equal(t, count(start.Add(time.Minute)), 40/agingInterval)
 	})
 	t.Run("worst", func(t *testing.T) {
 		var s Schedule
 		push(&s, "w", bramleytack.Standard, start)
 		last := push(&s, "w", bramleytack.Standard, start)
 		other := &Item{Workspace: "v", Priority: bramleytack.Standard, Cost: 1}
-		s.Stamp(other)
-		assert.Equal(t, s.Worst(other), last)
+		s.AssignTags(other)
+		assert.Equal(t, s.EvictionCandidate(other), last)
 		batch := &Item{Workspace: "v", Priority: bramleytack.Batch, Cost: 1}
-		s.Stamp(batch)
-		assert.Assert(t, s.Worst(batch) == nil)
+		s.AssignTags(batch)
+		assert.Assert(t, s.EvictionCandidate(batch) == nil)
 		s.Remove(last)
 		assert.Equal(t, s.Len(), 1)
 		assert.Equal(t, s.Bytes(), 5)
