--- a/btlimit/demand_test.go
+++ b/btlimit/demand_test.go
@@ -11,12 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a share that changes because a demand was left out.
-func TestFloor(t *testing.T) {
+// Guards against shares that change because Demands left out a small demand.
+func TestNegligibleDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 32).Draw(t, "members")
 		ws := &bramleytack.Workspace{RequestsPerSecond: rapid.Float64Range(0.1, 1e4).Draw(t, "limit")}
-		low := floor(ws, n).RequestsPerSecond
+		low := negligibleDemand(ws, n).RequestsPerSecond
 		var members []bramleytack.HostID
 		all, sent := map[bramleytack.HostID]float64{}, map[bramleytack.HostID]float64{}
 		for i := range n {
@@ -27,14 +27,14 @@
 				sent[h] = all[h]
 			}
 		}
-		with, without := divide(members, all, ws.RequestsPerSecond), divide(members, sent, ws.RequestsPerSecond)
+		with, without := memberShares(members, all, ws.RequestsPerSecond), memberShares(members, sent, ws.RequestsPerSecond)
 		for _, h := range members {
 			assert.Assert(t, math.Abs(with[h]-without[h]) <= ws.RequestsPerSecond*1e-9, "%s: %f, %f", h, with[h], without[h])
 		}
 	})
 }
 
-// Guards against exchanges that grow with all workspaces of the last minute.
+// Guards against messages that grow with all workspaces of the last minute.
 func TestDemands(t *testing.T) {
 	const tenants, busy, burst = 200, 3, 12
 	l := &Limiter{Self: "a"}
@@ -50,7 +50,7 @@
 			calls = burst
 		}
 		for range calls {
-			_ = l.Take(start, ws)
+			_ = l.Admit(start, ws)
 		}
 	}
 	assert.Equal(t, len(l.Demands(start)), busy)
--- a/btlimit/doc.go
+++ b/btlimit/doc.go
@@ -1,14 +1,14 @@
-// Package btlimit holds the rate and the concurrency of a workspace over all
-// entries together within its limits.
+// Package btlimit limits the request rate and the concurrency of each workspace
+// over all entry daemons together.
 //
-// Each entry enforces a share of a limit without asking anybody. Entries send
-// each other their demands, and each computes the same shares from the same
-// demands. An entry that hears nothing uses the equal share, and the others
-// leave that share to it. A smaller share is used at once, a larger one only
-// after the time in which the others have heard of it. While entries do not
-// hear of each other, a limit can be exceeded by what moved, until the news
-// has expired. A burst is at most one second of the share, and at least one
-// request.
+// Each entry daemon enforces its share of a limit without asking the others.
+// Entry daemons exchange their demands, and each computes the same shares from
+// the same demands. One that receives no demands uses the equal share, and the
+// others leave that share to it. A smaller share takes effect at once, a larger
+// one only when all others must have received the demands behind it. While entry
+// daemons cannot reach each other, a limit can be exceeded by the shares that have
+// changed, until the old demands expire. A burst is at most one second of the
+// share, and at least one request.
 //
 // # Usage
 //
--- a/btlimit/filter.go
+++ b/btlimit/filter.go
@@ -6,16 +6,16 @@
 	"bramleytack"
 )
 
-// Filter refuses requests above their workspace's limits, before any other
-// work is done for them.
+// Filter rejects requests above their workspace's limits, before any other work
+// is done for them. All fields must be set.
 type Filter struct {
 	Limiter   *Limiter
 	Snapshots bramleytack.Snapshots
 	Timer     bramleytack.Timer
 }
 
-// Handle passes a request on within the limits. Resume and Cancel belong to a
-// generation that was counted at its start.
+// Handle passes a request on if it is within the limits. It does not count Resume
+// and Cancel, which belong to a generation that was counted at its start.
 func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call {
 		return next.Handle(ctx, r, w)
@@ -24,7 +24,7 @@
 	if !ok {
 		return bramleytack.NewError(bramleytack.CodeForbidden, bramleytack.NotRun, "unknown workspace")
 	}
-	if err := f.Limiter.Take(f.Timer.Now(), ws); err != nil {
+	if err := f.Limiter.Admit(f.Timer.Now(), ws); err != nil {
 		return err
 	}
 	if !unlimited(ws) {
--- a/btlimit/limiter_test.go
+++ b/btlimit/limiter_test.go
@@ -17,8 +17,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Guards against shares that add up to more than the limit, are negative, or
-// give an entry less than an equal share while another gets more than that.
+// Guards against shares that add up to more than the limit, are negative, or give
+// an entry daemon less than the equal share while another one gets more.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Float64Range(0, 1e6).Draw(t, "total")
@@ -26,16 +26,16 @@
 		for i := range rapid.IntRange(1, 20).Draw(t, "hosts") {
 			demands[bramleytack.HostID(fmt.Sprint(i))] = rapid.OneOf(rapid.Float64Range(0, 1e5), rapid.SampledFrom([]float64{-1, math.NaN(), math.Inf(1)})).Draw(t, "demand")
 		}
-		shares := Shares(demands, total)
+		shares := MaxMinShares(demands, total)
 		sum, equal := 0.0, total/float64(len(demands))
 		for h, s := range shares {
 			sum += s
 			assert.Assert(t, s >= 0)
-			assert.Assert(t, s >= min(clean(demands[h]), equal)*(1-1e-9), "%s gets %f of %f", h, s, equal)
+			assert.Assert(t, s >= min(sanitize(demands[h]), equal)*(1-1e-9), "%s gets %f of %f", h, s, equal)
 		}
 		assert.Assert(t, math.Abs(sum-total) <= total*1e-9)
 		units := 0
-		for _, u := range Units(shares, int(total)) {
+		for _, u := range RoundShares(shares, int(total)) {
 			assert.Assert(t, u >= 0)
 			units += u
 		}
@@ -43,12 +43,12 @@
 	})
 }
 
-// fleet is a set of entries that share a workspace's limits in fake time.
+// fleet is a set of entry daemons that share a workspace's limits in fake time.
 type fleet struct {
 	now      time.Time
 	ws       *bramleytack.Workspace
 	limiters []*Limiter
-	// sent holds the demands that arrive after the next second.
+	// sent delivers the demands that arrive after the next second.
 	sent []func()
 }
 
@@ -66,8 +66,9 @@
 	return f
 }
 
-// second offers load[i] requests to entry i and returns how many each let
-// through. Requests end at once. Demands arrive a second late. Entries in silent do not exchange demands.
+// second offers load[i] requests to entry daemon i within one second and returns
+// how many each admitted. Requests end at once. Demands arrive a second late.
+// Entry daemons in silent neither send nor receive demands.
 func (f *fleet) second(load []int, silent map[int]bool) []int {
 	const steps = 100
 	passed := make([]int, len(load))
@@ -75,7 +76,7 @@
 		f.now = f.now.Add(time.Second / steps)
 		for i, l := range f.limiters {
 			for range load[i]*(step+1)/steps - load[i]*step/steps {
-				if l.Take(f.now, f.ws) == nil {
+				if l.Admit(f.now, f.ws) == nil {
 					passed[i]++
 					l.Done(f.now, f.ws)
 				}
@@ -100,8 +101,9 @@
 	return passed
 }
 
-// Guards against a rate that adds up over entries, a share that does not
-// follow demand, and an entry without news that uses more than the equal share.
+// Guards against a rate limit that applies to each entry daemon instead of to all
+// together, a share that does not follow demand, and an entry daemon that
+// receives no demands and uses more than the equal share.
 func TestRate(t *testing.T) {
 	f := newFleet(4, 100, 0)
 	total := func(passed []int) (sum int) {
@@ -124,21 +126,22 @@
 	assert.Assert(t, passed[1] >= 85, "the share moves: %v", passed)
 	check(10, []int{200, 200, 200, 200}, nil, 125)
 	assert.Assert(t, total(passed) >= 98 && total(passed) <= 102, "%v", passed)
-	// Entry 1 had the larger share and keeps it until its news expires.
+	// Entry daemon 1 had the larger share and keeps it until the demands that it
+	// received expire.
 	check(10, []int{200, 200, 0, 0}, nil, 104)
 	check(4, []int{200, 200, 0, 0}, map[int]bool{1: true}, 125)
 	check(10, []int{200, 200, 0, 0}, map[int]bool{1: true}, 104)
-	assert.Assert(t, passed[1] <= 26, "the equal share without news: %v", passed)
+	assert.Assert(t, passed[1] <= 26, "the equal share without demands: %v", passed)
 }
 
-// Guards against more concurrent requests than the limit over all entries, and
-// places that are never given back.
+// Guards against more concurrent requests than the limit over all entry daemons,
+// and against ended requests that still count.
 func TestConcurrency(t *testing.T) {
 	f := newFleet(3, 0, 4)
 	running := 0
 	for _, l := range f.limiters {
 		for range 10 {
-			if l.Take(f.now, f.ws) == nil {
+			if l.Admit(f.now, f.ws) == nil {
 				running++
 			}
 		}
@@ -146,11 +149,11 @@
 	assert.Equal(t, running, 4)
 	l := f.limiters[0]
 	l.Done(f.now, f.ws)
-	assert.NilError(t, l.Take(f.now, f.ws))
+	assert.NilError(t, l.Admit(f.now, f.ws))
 }
 
-// Guards against a refusal without its code, outcome and advice, and against a
-// place that a refused or finished request keeps.
+// Guards against a rejection without its code, outcome and RetryAfter, and against
+// a rejected or ended request that still counts.
 func TestFilter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timers := bttimer.New(1)
@@ -165,7 +168,7 @@
 		assert.Equal(t, e.Code, bramleytack.CodeRateLimited)
 		assert.Equal(t, e.Outcome, bramleytack.NotRun)
 		time.Sleep(e.RetryAfter)
-		assert.NilError(t, f.Handle(t.Context(), r, nil, ok), "the advice is true")
+		assert.NilError(t, f.Handle(t.Context(), r, nil, ok), "the request is admitted after RetryAfter")
 		assert.Equal(t, f.Limiter.workspaces["w"].running, 0)
 	})
 }
--- a/btlimit/shares.go
+++ b/btlimit/shares.go
@@ -9,10 +9,10 @@
 	"bramleytack"
 )
 
-// Shares divides total by demand. No host gets less than another one that it
-// asks as much as, and what all demands leave over is divided equally. The
-// shares add up to total.
-func Shares(demands map[bramleytack.HostID]float64, total float64) map[bramleytack.HostID]float64 {
+// MaxMinShares divides total between hosts by max-min fairness: a host gets its
+// demand or, if total is too small for that, no less than any other host. What
+// the demands leave over is divided equally. The shares add up to total.
+func MaxMinShares(demands map[bramleytack.HostID]float64, total float64) map[bramleytack.HostID]float64 {
 	shares := make(map[bramleytack.HostID]float64, len(demands))
 	if len(demands) == 0 || !(total > 0) {
 		for h := range demands {
@@ -20,68 +20,70 @@
 		}
 		return shares
 	}
-	rest := total
-	hosts := sorted(demands)
+	remaining := total
+	hosts := byDemand(demands)
 	for i, h := range hosts {
-		shares[h] = min(clean(demands[h]), rest/float64(len(hosts)-i))
-		rest -= shares[h]
+		shares[h] = min(sanitize(demands[h]), remaining/float64(len(hosts)-i))
+		remaining -= shares[h]
 	}
-	extra := max(0, rest) / float64(len(hosts))
+	extra := max(0, remaining) / float64(len(hosts))
 	for h := range shares {
 		shares[h] += extra
 	}
 	return shares
 }
 
-// sorted returns the hosts by rising demand. The order of equal demands is by
-// name, so that all entries compute the same.
-func sorted(demands map[bramleytack.HostID]float64) []bramleytack.HostID {
+// byDemand returns the hosts in ascending order of demand. Hosts with equal
+// demands are ordered by name, so that all entry daemons get the same result.
+func byDemand(demands map[bramleytack.HostID]float64) []bramleytack.HostID {
 	return slices.SortedFunc(maps.Keys(demands), func(a, b bramleytack.HostID) int {
-		return cmp.Or(cmp.Compare(clean(demands[a]), clean(demands[b])), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(sanitize(demands[a]), sanitize(demands[b])), cmp.Compare(a, b))
 	})
 }
 
-// clean makes a demand from another host a number that can be summed.
-func clean(d float64) float64 {
+// sanitize turns the demand of another host into a finite number that is not
+// negative.
+func sanitize(d float64) float64 {
 	if math.IsNaN(d) || d < 0 {
 		return 0
 	}
 	return min(d, math.MaxInt32)
 }
 
-// resolution hides rounding errors, which would order equal remainders
-// differently at each entry.
-const resolution = 1.0 / (1 << 20)
+// shareResolution is the unit to which shares are rounded. Rounding errors would
+// otherwise order equal remainders differently at each entry daemon.
+const shareResolution = 1.0 / (1 << 20)
 
-// Units rounds shares to whole numbers that add up to total: each share is
+// RoundShares rounds shares to integers that add up to total: each share is
 // rounded down, and the units left over go to the largest remainders.
-func Units(shares map[bramleytack.HostID]float64, total int) map[bramleytack.HostID]int {
+func RoundShares(shares map[bramleytack.HostID]float64, total int) map[bramleytack.HostID]int {
 	units := make(map[bramleytack.HostID]int, len(shares))
 	remainders := make(map[bramleytack.HostID]float64, len(shares))
-	rest := total
+	remaining := total
 	for h, s := range shares {
-		s = math.Round(s/resolution) * resolution
+		s = math.Round(s/shareResolution) * shareResolution
 		units[h] = int(s)
-		remainders[h] = math.Round((s - float64(units[h])) / resolution)
-		rest -= units[h]
+		remainders[h] = math.Round((s - float64(units[h])) / shareResolution)
+		remaining -= units[h]
 	}
-	order := slices.SortedFunc(maps.Keys(shares), func(a, b bramleytack.HostID) int {
+	byRemainder := slices.SortedFunc(maps.Keys(shares), func(a, b bramleytack.HostID) int {
 		return cmp.Or(cmp.Compare(remainders[b], remainders[a]), cmp.Compare(a, b))
 	})
-	for _, h := range order[:max(0, min(rest, len(order)))] {
+	for _, h := range byRemainder[:max(0, min(remaining, len(byRemainder)))] {
 		units[h]++
 	}
 	return units
 }
 
-// probeShare is the part of the equal share that each entry keeps without any
-// demand, so that its first requests need not wait for an exchange.
-const probeShare = 1.0 / 8
+// minShareFraction is the fraction of the equal share that each entry daemon has
+// without any demand, so that its first requests need not wait for an exchange.
+const minShareFraction = 1.0 / 8
 
-// floor returns the demand of an entry up to which divide treats it like one
-// without any. A demand without a limit never matters.
-func floor(ws *bramleytack.Workspace, members int) Demand {
-	part := probeShare / float64(max(1, members))
+// negligibleDemand returns the demand up to which memberShares treats an entry
+// daemon like one without demand. It is infinite where the workspace has no
+// limit.
+func negligibleDemand(ws *bramleytack.Workspace, members int) Demand {
+	part := minShareFraction / float64(max(1, members))
 	f := Demand{RequestsPerSecond: math.Inf(1), Concurrency: math.Inf(1)}
 	if ws.RequestsPerSecond > 0 {
 		f.RequestsPerSecond = ws.RequestsPerSecond * part
@@ -92,19 +94,19 @@
 	return f
 }
 
-// divide returns the shares of the hosts in demands. Members without demands
-// use the equal share, which is left to them.
-func divide(members []bramleytack.HostID, demands map[bramleytack.HostID]float64, total float64) map[bramleytack.HostID]float64 {
+// memberShares returns the shares of the members in demands. The equal share is
+// left to each of the other members, which uses it.
+func memberShares(members []bramleytack.HostID, demands map[bramleytack.HostID]float64, total float64) map[bramleytack.HostID]float64 {
 	equal := total / float64(max(1, len(members)))
-	raised := make(map[bramleytack.HostID]float64, len(demands))
-	rest := total
+	minimumDemands := make(map[bramleytack.HostID]float64, len(demands))
+	remaining := total
 	for _, h := range members {
 		d, ok := demands[h]
 		if !ok {
-			rest -= equal
+			remaining -= equal
 			continue
 		}
-		raised[h] = max(clean(d), equal*probeShare)
+		minimumDemands[h] = max(sanitize(d), equal*minShareFraction)
 	}
-	return Shares(raised, rest)
+	return MaxMinShares(minimumDemands, remaining)
 }
--- a/btlimit/usage.go
+++ b/btlimit/usage.go
@@ -5,40 +5,45 @@
 	"time"
 )
 
-// share is this entry's part of a workspace's limits.
+// share is this entry daemon's part of a workspace's limits. rate is in requests
+// per second.
 type share struct {
 	at          time.Time
 	rate        float64
 	concurrency int
 }
 
-// usage is the state of one workspace at this entry.
+// usage is the state of one workspace at this entry daemon.
 type usage struct {
-	running int
-	usedAt  time.Time
-	// floor is the demand up to which every entry is treated alike.
-	floor Demand
+	running  int
+	lastUsed time.Time
+	// negligible is the result of negligibleDemand.
+	negligible Demand
 
-	// raiseDelay is how long a larger share waits: the others have then either
-	// received the demands that reduce theirs, or their news has expired.
+	// raiseDelay is the delay before a larger share takes effect. By then, every
+	// other entry daemon has received the demands that reduce its share, or the
+	// demands that it uses have expired.
 	raiseDelay time.Duration
-	// current is the smallest share of the last raiseDelay.
+	// current is the smallest share of the last raiseDelay, and recent holds
+	// the shares of that time.
 	current share
 	recent  []share
 
-	tokens float64
-	fillAt time.Time
+	// tokens is the level of the token bucket at filledAt.
+	tokens   float64
+	filledAt time.Time
 
-	// arrivals decays with demandTime: at a steady rate it is the number of
-	// requests in that time. wanted is the decaying maximum of the
-	// concurrency that was asked for.
-	arrivals float64
-	wanted   float64
-	decayAt  time.Time
+	// arrivals counts requests with exponential decay: at a steady rate it is
+	// the number of requests in demandWindow. peakConcurrency is the maximum of
+	// the concurrency that was asked for, with the same decay. Both are as of
+	// decayedAt.
+	arrivals        float64
+	peakConcurrency float64
+	decayedAt       time.Time
 }
 
-// setShare takes a new share. The first one is used at once: no request was
-// counted against another.
+// setShare sets a new share. The first one takes effect at once, since no other
+// share was in use before.
 func (u *usage) setShare(now time.Time, s share) {
 	keep := u.recent[:0]
 	for _, r := range u.recent {
@@ -52,29 +57,29 @@
 		low.rate = min(low.rate, r.rate)
 		low.concurrency = min(low.concurrency, r.concurrency)
 	}
-	u.fill(now)
+	u.refill(now)
 	u.current = low
 	u.tokens = min(u.tokens, u.burst())
 }
 
-// burst returns the size of the token bucket.
+// burst returns the capacity of the token bucket.
 func (u *usage) burst() float64 { return max(1, u.current.rate) }
 
-func (u *usage) fill(now time.Time) {
-	if u.fillAt.IsZero() {
+func (u *usage) refill(now time.Time) {
+	if u.filledAt.IsZero() {
 		u.tokens = 1
-		u.fillAt = now
+		u.filledAt = now
 		return
 	}
-	if d := now.Sub(u.fillAt); d > 0 {
+	if d := now.Sub(u.filledAt); d > 0 {
 		u.tokens = min(u.burst(), u.tokens+d.Seconds()*u.current.rate)
-		u.fillAt = now
+		u.filledAt = now
 	}
 }
 
-// spend takes a token, or returns the time until there is one.
-func (u *usage) spend(now time.Time) time.Duration {
-	u.fill(now)
+// takeToken takes a token and returns 0, or returns the time until there is one.
+func (u *usage) takeToken(now time.Time) time.Duration {
+	u.refill(now)
 	if u.tokens >= 1 {
 		u.tokens--
 		return 0
@@ -86,29 +91,29 @@
 	return time.Duration(min(wait, float64(time.Hour))) + 1
 }
 
-func (u *usage) arrive(now time.Time) {
+func (u *usage) recordArrival(now time.Time) {
 	u.decay(now)
-	u.usedAt = now
+	u.lastUsed = now
 	u.arrivals++
-	u.wanted = max(u.wanted, float64(u.running+1))
+	u.peakConcurrency = max(u.peakConcurrency, float64(u.running+1))
 }
 
 func (u *usage) decay(now time.Time) {
-	if u.decayAt.IsZero() {
-		u.decayAt = now
+	if u.decayedAt.IsZero() {
+		u.decayedAt = now
 		return
 	}
-	d := now.Sub(u.decayAt)
+	d := now.Sub(u.decayedAt)
 	if d <= 0 {
 		return
 	}
-	factor := math.Exp(-d.Seconds() / demandTime.Seconds())
+	factor := math.Exp(-d.Seconds() / demandWindow.Seconds())
 	u.arrivals *= factor
-	u.wanted = max(float64(u.running), u.wanted*factor)
-	u.decayAt = now
+	u.peakConcurrency = max(float64(u.running), u.peakConcurrency*factor)
+	u.decayedAt = now
 }
 
 func (u *usage) demand(now time.Time) Demand {
 	u.decay(now)
-	return Demand{RequestsPerSecond: u.arrivals / demandTime.Seconds(), Concurrency: u.wanted}
+	return Demand{RequestsPerSecond: u.arrivals / demandWindow.Seconds(), Concurrency: u.peakConcurrency}
 }
