--- a/btretry/backoff.go
+++ b/btretry/backoff.go
@@ -16,19 +16,20 @@
 	DefaultMargin   = 50 * time.Millisecond
 )
 
-// Backoff computes the waits between attempts. Set Timer before use; other
-// zero values select the defaults. It is safe for concurrent use.
+// Backoff computes the waits between attempts. Set Timer before use; other zero
+// fields take defaults. It is safe for concurrent use.
 type Backoff struct {
 	Timer bramleytack.Timer
-	// Base is the longest wait before the second attempt. It doubles with each
-	// further attempt up to Max.
+	// Base is the longest wait before the second attempt. The longest wait
+	// doubles with each further attempt, up to Max.
 	Base time.Duration
 	Max  time.Duration
-	// Attempts is the number of attempts, counting the first.
+	// Attempts is the number of attempts, including the first.
 	Attempts int
-	// Margin is the least time that an attempt needs to be useful.
+	// Margin is the shortest time before the deadline at which an attempt may
+	// still start.
 	Margin time.Duration
-	// Seed selects the random source of the jitter.
+	// Seed seeds the random numbers of the jitter.
 	Seed uint64
 
 	mu  sync.Mutex
@@ -36,22 +37,22 @@
 }
 
 // Next returns the wait after the given attempt, counted from 1. It returns
-// false when there is no attempt left or the next one could not end before the
-// deadline. A zero deadline is none.
+// false when no attempt is left or the next one could not end before the
+// deadline. A zero deadline means none.
 func (b *Backoff) Next(attempt int, deadline time.Time) (time.Duration, bool) {
-	if attempt < 1 || attempt >= or(b.Attempts, DefaultAttempts) {
+	if attempt < 1 || attempt >= positiveOr(b.Attempts, DefaultAttempts) {
 		return 0, false
 	}
-	wait := b.jitter(b.limit(attempt))
-	if !deadline.IsZero() && b.Timer.Now().Add(wait+or(b.Margin, DefaultMargin)).After(deadline) {
+	wait := b.jitter(b.maxWait(attempt))
+	if !deadline.IsZero() && b.Timer.Now().Add(wait+positiveOr(b.Margin, DefaultMargin)).After(deadline) {
 		return 0, false
 	}
 	return wait, true
 }
 
-// limit returns the longest wait after an attempt.
-func (b *Backoff) limit(attempt int) time.Duration {
-	wait, longest := or(b.Base, DefaultBase), or(b.Max, DefaultMax)
+// maxWait returns the longest wait after an attempt.
+func (b *Backoff) maxWait(attempt int) time.Duration {
+	wait, longest := positiveOr(b.Base, DefaultBase), positiveOr(b.Max, DefaultMax)
 	for range attempt - 1 {
 		if wait >= longest/2 {
 			return longest
@@ -61,7 +62,7 @@
 	return min(wait, longest)
 }
 
-// jitter returns a wait between half of the limit and the limit.
+// jitter returns a random wait between half of the limit and the limit.
 func (b *Backoff) jitter(limit time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +72,8 @@
 	return limit - time.Duration(b.rng.Int64N(int64(limit)/2+1))
 }
 
-func or[T int | float64 | time.Duration](v, fallback T) T {
+// positiveOr returns v if it is positive, and fallback otherwise.
+func positiveOr[T int | float64 | time.Duration](v, fallback T) T {
 	if v > 0 {
 		return v
 	}
--- a/btretry/budget.go
+++ b/btretry/budget.go
@@ -13,35 +13,38 @@
 	DefaultRatio   = 0.1
 	DefaultMinimum = 1.0
 	DefaultBurst   = 10.0
-	DefaultKeys    = 4096
+	DefaultMaxKeys = 4096
 )
 
-// Budget is a token bucket per workspace or model. Set Timer before use; other
-// zero values select the defaults. It is safe for concurrent use.
+// Budget limits retries by a token bucket per key, such as a workspace or a model.
+// Set Timer before use; other zero fields take defaults. It is safe for concurrent
+// use.
 type Budget struct {
 	Timer bramleytack.Timer
-	// Ratio is the number of retries that one request earns.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Minimum is the number of retries per second that need no requests.
+	// Minimum is the number of retries per second that the budget grows by
+	// without requests.
 	Minimum float64
-	// Burst bounds the retries that a key can save up.
+	// Burst bounds the budget of a key, in retries.
 	Burst float64
 	// Processes returns the number of processes that share Minimum and Burst.
 	// Nil means one.
 	Processes func() int
-	// Keys bounds the buckets. The one used least recently is forgotten.
-	Keys int
+	// MaxKeys bounds the number of buckets. The least recently used one is
+	// dropped.
+	MaxKeys int
 
 	mu      sync.Mutex
 	buckets map[string]*list.Element
-	order   list.List
+	lru     list.List
 }
 
-// bucket is the budget of one key.
+// bucket is the budget of one key. A token allows one retry.
 type bucket struct {
-	key    string
-	tokens float64
-	at     time.Time
+	key        string
+	tokens     float64
+	refilledAt time.Time
 }
 
 // Request counts a first attempt.
@@ -49,10 +52,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.refill(key)
-	k.tokens = min(k.tokens+or(b.Ratio, DefaultRatio), b.burst())
+	k.tokens = min(k.tokens+positiveOr(b.Ratio, DefaultRatio), b.burst())
 }
 
-// Retry takes one retry out of the budget if there is one.
+// Retry reports whether the budget allows a retry, and if so takes it from the
+// budget.
 func (b *Budget) Retry(key string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,19 +68,19 @@
 	return true
 }
 
-// refill returns a key's bucket with the minimum added for the time since its
-// last use. A new bucket has one retry, so that a rare key can repeat.
+// refill returns a key's bucket after adding Minimum for the time since its last
+// use. A new bucket allows one retry, so that a key with rare requests can retry.
 func (b *Budget) refill(key string) *bucket {
 	now := b.Timer.Now()
 	e, ok := b.buckets[key]
 	if !ok {
-		return b.add(&bucket{key: key, tokens: 1, at: now})
+		return b.add(&bucket{key: key, tokens: 1, refilledAt: now})
 	}
-	b.order.MoveToBack(e)
+	b.lru.MoveToBack(e)
 	k := e.Value.(*bucket)
-	if d := now.Sub(k.at); d > 0 {
-		k.tokens = min(k.tokens+d.Seconds()*or(b.Minimum, DefaultMinimum)/b.processes(), b.burst())
-		k.at = now
+	if d := now.Sub(k.refilledAt); d > 0 {
+		k.tokens = min(k.tokens+d.Seconds()*positiveOr(b.Minimum, DefaultMinimum)/b.processes(), b.burst())
+		k.refilledAt = now
 	}
 	return k
 }
@@ -85,16 +89,16 @@
 	if b.buckets == nil {
 		b.buckets = map[string]*list.Element{}
 	}
-	if b.order.Len() >= or(b.Keys, DefaultKeys) {
-		oldest := b.order.Front()
+	if b.lru.Len() >= positiveOr(b.MaxKeys, DefaultMaxKeys) {
+		oldest := b.lru.Front()
 		delete(b.buckets, oldest.Value.(*bucket).key)
-		b.order.Remove(oldest)
+		b.lru.Remove(oldest)
 	}
-	b.buckets[k.key] = b.order.PushBack(k)
+	b.buckets[k.key] = b.lru.PushBack(k)
 	return k
 }
 
-func (b *Budget) burst() float64 { return max(or(b.Burst, DefaultBurst)/b.processes(), 1) }
+func (b *Budget) burst() float64 { return max(positiveOr(b.Burst, DefaultBurst)/b.processes(), 1) }
 
 func (b *Budget) processes() float64 {
 	if b.Processes == nil {
--- a/btretry/retrier.go
+++ b/btretry/retrier.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Retrier combines a budget with a backoff.
+// Retrier combines a budget with a backoff. Both must be set.
 type Retrier struct {
 	Budget  *Budget
 	Backoff *Backoff
 }
 
-// Next returns the wait before the attempt after the given one, or false if the
-// request must not be repeated. It takes from the budget only if the backoff
-// allows a repeat.
+// Next returns the wait after the given attempt, counted from 1, or false if the
+// request must not be retried. It takes a retry from the key's budget only if the
+// backoff allows one.
 func (r *Retrier) Next(key string, attempt int, deadline time.Time) (time.Duration, bool) {
 	wait, ok := r.Backoff.Next(attempt, deadline)
 	if !ok || !r.Budget.Retry(key) {
--- a/btretry/retrier_test.go
+++ b/btretry/retrier_test.go
@@ -21,10 +21,10 @@
 	})
 }
 
-// Guards against retry storms and against budgets that one key takes from
-// another.
+// Guards against retry storms, and against retries of one key that use the budget
+// of another.
 func TestBudget(t *testing.T) {
-	run(t, "a failing domain gets a tenth more load", func(t *testing.T, r *Retrier) {
+	run(t, "retries of a failing domain add a tenth of the load", func(t *testing.T, r *Retrier) {
 		const requests, seconds = 1000, 20
 		retries := 0
 		for range seconds {
@@ -43,14 +43,14 @@
 		assert.Assert(t, float64(retries) <= earned+DefaultBurst, "%d retries", retries)
 		assert.Assert(t, float64(retries) >= earned*0.9, "%d retries", retries)
 	})
-	run(t, "rare requests keep a minimum", func(t *testing.T, r *Retrier) {
+	run(t, "a key without requests can retry once a second", func(t *testing.T, r *Retrier) {
 		for range 10 {
 			assert.Assert(t, r.Budget.Retry("m"))
 			assert.Assert(t, !r.Budget.Retry("m"))
 			time.Sleep(time.Second)
 		}
 	})
-	run(t, "idle time saves up no more than the burst", func(t *testing.T, r *Retrier) {
+	run(t, "idle time adds no more than the burst", func(t *testing.T, r *Retrier) {
 		r.Budget.Request("m")
 		time.Sleep(time.Hour)
 		n := 0
@@ -60,7 +60,7 @@
 		assert.Equal(t, n, int(DefaultBurst))
 	})
 	run(t, "keys are separate and bounded", func(t *testing.T, r *Retrier) {
-		r.Budget.Keys = 8
+		r.Budget.MaxKeys = 8
 		assert.Assert(t, r.Budget.Retry("a"))
 		assert.Assert(t, r.Budget.Retry("b"))
 		assert.Assert(t, !r.Budget.Retry("a"))
@@ -68,11 +68,11 @@
 			r.Budget.Request(fmt.Sprint(i))
 		}
 		assert.Equal(t, len(r.Budget.buckets), 8)
-		assert.Equal(t, r.Budget.order.Len(), 8)
+		assert.Equal(t, r.Budget.lru.Len(), 8)
 	})
 }
 
-// Guards against waits in step, waits beyond the deadline and endless repeats.
+// Guards against synchronized waits, waits beyond the deadline and endless retries.
 func TestBackoff(t *testing.T) {
 	run(t, "waits double up to the maximum and are jittered", func(t *testing.T, r *Retrier) {
 		b := r.Backoff
@@ -91,13 +91,13 @@
 			assert.Assert(t, len(seen) > 10)
 		}
 	})
-	run(t, "the last attempt is the last", func(t *testing.T, r *Retrier) {
+	run(t, "no attempt follows the last one", func(t *testing.T, r *Retrier) {
 		_, ok := r.Backoff.Next(DefaultAttempts-1, time.Time{})
 		assert.Assert(t, ok)
 		_, ok = r.Backoff.Next(DefaultAttempts, time.Time{})
 		assert.Assert(t, !ok)
 	})
-	run(t, "no repeat that cannot end in time, and none is charged", func(t *testing.T, r *Retrier) {
+	run(t, "no retry that cannot end in time, and none is taken from the budget", func(t *testing.T, r *Retrier) {
 		deadline := r.Backoff.Timer.Now().Add(DefaultBase/2 + DefaultMargin - 1)
 		for range 100 {
 			_, ok := r.Next("m", 1, deadline)
