--- a/btowner/config.go
+++ b/btowner/config.go
@@ -17,12 +17,13 @@
 	// It allows for clock skew and for the time until an engine has stopped a
 	// canceled generation.
 	deadlineGrace = 2 * time.Second
-	// orphanUnlistedGrace and unlistedGrace are the times from which a report
-	// that does not list a request shows that it has ended. The first is for
-	// requests whose entry daemon has left the view, counted from the expiry of
-	// the grant, or has abandoned them, counted from then. The second is for
-	// all others, counted from the expiry: a live entry daemon releases its
-	// reservations itself, and the request may be delayed on a link.
+	// orphanUnlistedGrace and unlistedGrace are the times after which a report
+	// shows that a request has ended that neither it nor an earlier report
+	// lists. The first is for requests whose entry daemon has left the view,
+	// counted from the expiry of the grant, or has abandoned them, counted from
+	// then. The second is for all others, counted from the expiry. It is longer
+	// because a live entry daemon releases its reservations itself and the
+	// request may be delayed on a link.
 	orphanUnlistedGrace = 2 * time.Second
 	unlistedGrace       = 10 * time.Second
 	// endedRetention is how long ended reservations are kept, for messages
@@ -73,10 +74,10 @@
 	// AnyLengthWhenCold lets a cold upstream take requests of any length.
 	// Otherwise it takes only short ones for a while, since these warm it fast.
 	AnyLengthWhenCold bool
-	// WithoutReports is for upstreams whose load reports the owner need not
-	// wait for. It admits requests before the first report, where an owner
-	// otherwise waits to see what already runs, and it drops the reservation of
-	// an abandoned request at once.
+	// WithoutReports admits requests before the first load report, and drops
+	// the reservation of an abandoned request at once. Otherwise a new owner
+	// first waits to see what already runs, and keeps such a reservation until
+	// a report shows that the request has ended.
 	WithoutReports bool
 }
 
--- a/btowner/reservation.go
+++ b/btowner/reservation.go
@@ -15,7 +15,7 @@
 	Instance bramleytack.InstanceID
 	// Age is the time since the entry asked for the grant.
 	Age time.Duration
-	// Tokens is the output so far.
+	// Tokens is the number of output tokens so far.
 	Tokens int
 }
 
@@ -25,7 +25,8 @@
 	mark       btramp.Admission
 	grantedAt  time.Time
 	validUntil time.Time
-	produced   int
+	// produced is the largest number of output tokens reported so far.
+	produced int
 	// listedAt is the time of the last report that listed the request. It is
 	// zero if none did.
 	listedAt time.Time
@@ -53,6 +54,7 @@
 	return res.Deadline.Add(deadlineGrace)
 }
 
+// lengthKey selects the length statistics of the reservation's request.
 func (res *trackedReservation) lengthKey() btlength.Key {
 	return btlength.Key{Workspace: res.Workspace, Model: res.Model, Priority: res.Priority}
 }
--- a/btowner/table.go
+++ b/btowner/table.go
@@ -130,12 +130,12 @@
 	now := t.timer.Now()
 	ownership := Ownership{}
 	if t.Ownership != nil {
-		p, ok := t.Ownership.Ownership(now, r.Upstream)
+		o, ok := t.Ownership.Ownership(now, r.Upstream)
 		if !ok {
 			return bramleytack.Grant{}, rejection(bramleytack.CodeNoUpstream, "this daemon has no view lease for the upstream")
 		}
-		ownership = p
-		u.upstream.SetMode(p.Mode)
+		ownership = o
+		u.upstream.SetMode(o.Mode)
 	}
 	g, err := u.upstream.Reserve(now, r)
 	g.ViewNumber = ownership.ViewNumber
