--- a/btowner/report.go
+++ b/btowner/report.go
@@ -21,7 +21,7 @@
 	}
 	restarted := u.reported && r.Instance != u.report.Instance
 	u.ramp.ObserveInstance(now, r.Instance)
-	u.paceFromReports(now, r)
+	u.observeStepsInReports(now, r)
 	u.report, u.reportAt, u.receivedAt, u.reported = r, madeAt, now, true
 	if madeAt.After(u.possibleRestartAt) {
 		u.possibleRestartAt = time.Time{}
@@ -36,15 +36,15 @@
 	u.recomputeForecast(r, listed)
 }
 
-// minPaceInterval is the shortest time between two reports from which the
+// minStepSampleInterval is the shortest time between two reports from which the
 // duration of a step is computed. A step takes tens of milliseconds.
-const minPaceInterval = 200 * time.Millisecond
+const minStepSampleInterval = 200 * time.Millisecond
 
-// paceFromReports passes the duration of a decoding step to the ramp: the
+// observeStepsInReports passes the duration of a decoding step to the ramp: the
 // generation that gained most tokens between two reports got one in each step.
-func (u *Upstream) paceFromReports(now time.Time, r bramleytack.LoadReport) {
+func (u *Upstream) observeStepsInReports(now time.Time, r bramleytack.LoadReport) {
 	span := r.At.Sub(u.report.At)
-	if !u.reported || r.Instance != u.report.Instance || span < minPaceInterval {
+	if !u.reported || r.Instance != u.report.Instance || span < minStepSampleInterval {
 		return
 	}
 	before := make(map[bramleytack.RequestID]int, len(u.report.Generations))
@@ -64,16 +64,16 @@
 	}
 }
 
-// minPaceTokens is the shortest output of a generation from which the duration
-// of a step is computed.
-const minPaceTokens = 5
+// minStepSampleTokens is the shortest output of a generation from which the
+// duration of a step is computed.
+const minStepSampleTokens = 5
 
-// paceFromRelease passes the average duration of the decoding steps of an ended
-// generation to the ramp. Short generations, which warm a cold upstream, can
-// start and end between two reports. On a warm upstream the reports are enough,
-// and a generation can be slow for other reasons.
-func (u *Upstream) paceFromRelease(now time.Time, res *trackedReservation, v bramleytack.Release) {
-	if v.Tokens < minPaceTokens || v.FirstToken <= 0 {
+// observeStepsOfRelease passes the average duration of the decoding steps of an
+// ended generation to the ramp. It is called for cold upstreams, since the short
+// generations that warm them can start and end between two reports. On a warm
+// upstream the reports are enough, and a generation can be slow for other reasons.
+func (u *Upstream) observeStepsOfRelease(now time.Time, res *trackedReservation, v bramleytack.Release) {
+	if v.Tokens < minStepSampleTokens || v.FirstToken <= 0 {
 		return
 	}
 	decoding := now.Sub(res.grantedAt) - v.FirstToken
@@ -120,7 +120,7 @@
 		res.produced = max(res.produced, tokens)
 		if res.produced >= successTokens && !res.succeeded {
 			res.succeeded = true
-			u.ramp.Progress(u.receivedAt, res.mark)
+			u.ramp.Progress(u.receivedAt, res.admission)
 		}
 	}
 	return listed
--- a/btowner/reservation.go
+++ b/btowner/reservation.go
@@ -22,7 +22,7 @@
 // trackedReservation is a reservation with what the owner knows of its request.
 type trackedReservation struct {
 	bramleytack.Reservation
-	mark       btramp.Admission
+	admission  btramp.Admission
 	grantedAt  time.Time
 	validUntil time.Time
 	// produced is the largest number of output tokens reported so far.
--- a/btowner/upstream.go
+++ b/btowner/upstream.go
@@ -184,12 +184,12 @@
 	if wait := u.nextPromptAt.Sub(now); wait > 0 {
 		return rejection(bramleytack.CodeOverloaded, "upstream has just started another prompt").WithRetryAfter(wait)
 	}
-	mark, ok := u.ramp.Admit(now, running, res.PromptTokens)
+	admission, ok := u.ramp.Admit(now, running, res.PromptTokens)
 	if !ok {
 		return rejection(bramleytack.CodeOverloaded, "upstream is warming up").
 			WithRetryAfter(max(defaultRetryAfter, u.ramp.Wait(now)))
 	}
-	res.mark = mark
+	res.admission = admission
 	if step, ok := u.ramp.StepTime(running); ok && u.cfg.StepsBetweenPrompts > 0 {
 		u.nextPromptAt = now.Add(time.Duration(u.cfg.StepsBetweenPrompts * float64(step)))
 	}
@@ -307,10 +307,10 @@
 		u.MarkPossibleRestart(now)
 	}
 	if ran && !u.ramp.Warm() {
-		u.paceFromRelease(now, res, v)
+		u.observeStepsOfRelease(now, res, v)
 	}
 	service := u.record.Kind == bramleytack.KindService
-	u.ramp.End(now, res.mark, btramp.Result{
+	u.ramp.End(now, res.admission, btramp.Result{
 		OK:           ran && (v.Tokens > 0 || service) && !res.succeeded,
 		Failed:       v.Failed,
 		FirstToken:   v.FirstToken,
--- a/btowner/upstream_test.go
+++ b/btowner/upstream_test.go
@@ -30,22 +30,27 @@
 
 // cluster simulates one engine, its owner and the entry daemons that use it.
 type cluster struct {
-	t        *rapid.T
-	limit    int
-	now      time.Time
-	owner    *Upstream
-	next     int
+	t     *rapid.T
+	limit int
+	now   time.Time
+	owner *Upstream
+	next  int
+	// engine holds the requests that the engine runs, in its current instance.
 	engine   map[bramleytack.RequestID]bramleytack.Reservation
 	instance int
-	asked    map[bramleytack.GrantID]time.Time
-	pending  []bramleytack.Reservation
+	// asked holds when each grant was asked for, and pending the granted
+	// reservations whose requests were not sent yet.
+	asked   map[bramleytack.GrantID]time.Time
+	pending []bramleytack.Reservation
 	// live holds the reservations of entry daemons that are alive, for Adopt.
-	live    map[bramleytack.GrantID]bramleytack.Reservation
-	dead    map[bramleytack.HostID]bool
-	deaths  int
+	live   map[bramleytack.GrantID]bramleytack.Reservation
+	dead   map[bramleytack.HostID]bool
+	deaths int
+	// history holds the engine's load reports.
 	history []bramleytack.LoadReport
 }
 
+// observe makes a load report. It is not delivered yet.
 func (c *cluster) observe() {
 	r := bramleytack.LoadReport{Instance: bramleytack.InstanceID(fmt.Sprint(c.instance)), At: c.now, Running: len(c.engine)}
 	for id := range c.engine {
@@ -149,6 +154,7 @@
 	}
 }
 
+// report delivers one of the last five load reports.
 func (c *cluster) report() {
 	if len(c.history) == 0 {
 		return
