--- a/internal/fleet/btdirectory/doc.go
+++ b/internal/fleet/btdirectory/doc.go
@@ -1,11 +1,9 @@
 // Package btdirectory tells callers which daemons to connect to.
 //
-// The answer names daemons that are alive, ready and staying. Its validity is
-// short, since callers keep it, some longer than they should. A daemon that
-// leaves is missing from the next answer.
+// A response lists daemons that are alive, ready and not leaving. It is valid for a
+// short time only, because callers cache it, some of them longer than it is valid.
 //
 // # Usage
 //
-//	d := &btdirectory.Handler{Peers: node.Alive, Entry: entryAddr, Domain: domain}
-//	mux.Handle(path, d)
+//	mux.Handle(path, &btdirectory.Handler{Peers: node.Alive, Entry: entryAddr, Ready: ready, Encode: encode, Log: log})
 package btdirectory
--- a/internal/fleet/btdirectory/handler.go
+++ b/internal/fleet/btdirectory/handler.go
@@ -12,30 +12,34 @@
 )
 
 const (
-	// maxAddrs bounds the addresses of an answer.
+	// maxAddrs bounds the addresses in a response.
 	maxAddrs = 64
-	// validity is how long callers may keep an answer. Asking is cheap, and a
-	// daemon that leaves must keep serving for three times as long.
+	// validity is how long callers may cache a response. It is short because requests
+	// to the directory are cheap, and a leaving daemon must serve for three times as
+	// long.
 	validity = time.Second
 )
 
-// Encoder writes an answer in the callers' format.
+// Encoder returns a value whose JSON encoding is the response in the callers' format.
 type Encoder func(addrs []netip.AddrPort, validity time.Duration) any
 
-// Handler answers callers.
+// Handler serves the addresses of the daemons that callers may connect to. It is safe
+// for concurrent use.
 type Handler struct {
 	// Peers returns the other daemons that are alive.
 	Peers func() []btgossip.Peer
-	// Entry is this daemon's address for callers. The port is the same at all.
-	Entry  netip.AddrPort
+	// Entry is this daemon's address for callers. All daemons use the same port.
+	Entry netip.AddrPort
+	// Ready reports whether callers may connect to this daemon.
 	Ready  func() bool
 	Encode Encoder
-	// MaxValidity bounds the validity that callers honour. Zero means no bound.
+	// MaxValidity is the longest validity that callers honour. Zero means no bound.
 	MaxValidity time.Duration
 	Log         *btevent.Logger
 }
 
-// Addrs returns the entry addresses to use, none if no daemon is ready.
+// Addrs returns the addresses of all ready daemons, or a random choice of maxAddrs if
+// there are more. It returns none if no daemon is ready.
 func (h *Handler) Addrs() []netip.AddrPort {
 	var addrs []netip.AddrPort
 	if h.Ready() {
--- a/internal/fleet/btdirectory/handler_test.go
+++ b/internal/fleet/btdirectory/handler_test.go
@@ -13,32 +13,32 @@
 	"bramleytack/internal/fleet/btgossip"
 )
 
-// Guards against callers that are sent to daemons that are not ready or leave,
-// and against an empty answer with status 200.
-func TestAnswer(t *testing.T) {
+// Guards against responses that list daemons that are not ready or are leaving, and
+// against an empty list with status 200.
+func TestDirectoryResponse(t *testing.T) {
 	addr := func(i byte) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, i}) }
-	var named []netip.AddrPort
-	var valid time.Duration
+	var listed []netip.AddrPort
+	var validFor time.Duration
 	ready := true
 	peers := []btgossip.Peer{{Addr: addr(2), Ready: true}, {Addr: addr(3)}, {Addr: addr(4), Ready: true, Leaving: true}}
 	h := &Handler{
 		Peers: func() []btgossip.Peer { return peers }, Entry: netip.AddrPortFrom(addr(1), 80), Ready: func() bool { return ready },
-		Encode: func(a []netip.AddrPort, v time.Duration) any { named, valid = a, v; return a }, MaxValidity: 500 * time.Millisecond,
+		Encode: func(a []netip.AddrPort, v time.Duration) any { listed, validFor = a, v; return a }, MaxValidity: 500 * time.Millisecond,
 	}
-	ask := func() int {
+	get := func() int {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 		return w.Code
 	}
-	assert.Equal(t, ask(), http.StatusOK)
-	assert.DeepEqual(t, named, []netip.AddrPort{netip.AddrPortFrom(addr(1), 80), netip.AddrPortFrom(addr(2), 80)}, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }))
-	assert.Equal(t, valid, 500*time.Millisecond)
+	assert.Equal(t, get(), http.StatusOK)
+	assert.DeepEqual(t, listed, []netip.AddrPort{netip.AddrPortFrom(addr(1), 80), netip.AddrPortFrom(addr(2), 80)}, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }))
+	assert.Equal(t, validFor, 500*time.Millisecond)
 	ready, peers = false, nil
-	assert.Equal(t, ask(), http.StatusServiceUnavailable)
+	assert.Equal(t, get(), http.StatusServiceUnavailable)
 	ready = true
 	for i := range byte(200) {
 		peers = append(peers, btgossip.Peer{Addr: addr(i + 2), Ready: true})
 	}
-	assert.Equal(t, ask(), http.StatusOK)
-	assert.Equal(t, len(named), maxAddrs)
+	assert.Equal(t, get(), http.StatusOK)
+	assert.Equal(t, len(listed), maxAddrs)
 }
