--- a/internal/route/btaccount/account.go
+++ b/internal/route/btaccount/account.go
@@ -10,55 +10,61 @@
 const (
 	// failureWeight is the share of the newest outcome in the failure average.
 	failureWeight = 0.2
-	// ejectAbove is the failure average above which an upstream is ejected if it
-	// also exceeds its peers' by ejectMargin.
-	ejectAbove  = 0.3
-	ejectMargin = 0.2
-	// ejectFor is the first ejection; repeated ones double up to ejectMost.
-	ejectFor  = time.Second
-	ejectMost = 8 * time.Second
-	// ejectQuorum is the number of other daemons whose ejection counts as one's
-	// own. A few may have bad luck.
+	// ejectThreshold is the failure average above which an upstream is ejected if
+	// it also exceeds the mean of the service's other upstreams by ejectMargin.
+	ejectThreshold = 0.3
+	ejectMargin    = 0.2
+	// firstEjection is the duration of a first ejection. It doubles with each
+	// further one up to maxEjection.
+	firstEjection = time.Second
+	maxEjection   = 8 * time.Second
+	// ejectQuorum is the number of other daemons that must eject an upstream
+	// before this daemon avoids it too. Fewer may have seen chance failures.
 	ejectQuorum = 3
-	// afterEjection is the failure average at the end of an ejection. One more
-	// failure is none of the upstream: some calls fail wherever they run.
-	afterEjection = 0.1
-	// unreachableFor keeps work from an upstream that refused a connection. It
-	// doubles with each refusal in a row up to unreachableMost: while the store is
-	// away, upstreams that have ended stay registered.
-	unreachableFor  = 300 * time.Millisecond
-	unreachableMost = 5 * time.Second
-	// misdirectedFor keeps work from an upstream whose address another instance
-	// has. It is gone; its registration follows within a few seconds.
-	misdirectedFor = 10 * time.Second
-	// maxDoublings bounds the growth of both pauses before their own bounds do.
+	// failuresAfterEjection is the failure average that an ejection resets to. It
+	// lets one failure pass without a new ejection, since some calls fail at every
+	// upstream.
+	failuresAfterEjection = 0.1
+	// firstUnreachablePause is how long an upstream is avoided after a connection
+	// attempt failed. It doubles with each consecutive failure up to
+	// maxUnreachablePause, because upstreams that have ended stay registered while
+	// the store is unavailable.
+	firstUnreachablePause = 300 * time.Millisecond
+	maxUnreachablePause   = 5 * time.Second
+	// misdirectedPause is how long an upstream is avoided after another instance
+	// answered at its address. The upstream is gone, and its registration is
+	// removed within a few seconds.
+	misdirectedPause = 10 * time.Second
+	// maxDoublings keeps the shift of both pauses from overflowing. maxEjection
+	// and maxUnreachablePause are reached earlier.
 	maxDoublings = 5
-	// loadFresh is how long a load header counts.
-	loadFresh = 300 * time.Millisecond
+	// reportValidity is how long a load header of an upstream's response is used.
+	reportValidity = 300 * time.Millisecond
 )
 
-// Outcome is how an attempt at an upstream ended, as far as its health goes.
+// Outcome is the result of an attempt, for the upstream's health.
 type Outcome uint8
 
 // The outcomes of attempts.
 const (
 	// Served attempts ended with a response.
 	Served Outcome = iota
-	// Rejected attempts were turned away unexecuted.
+	// Rejected attempts were rejected by the upstream before execution. Logs name
+	// the outcome "refused".
 	Rejected
-	// Failed attempts ended with an error or a response that cannot be used.
+	// Failed attempts ended with an error or an unusable response.
 	Failed
 	// Unreachable attempts got no connection.
 	Unreachable
-	// Misdirected attempts met another instance at the address.
+	// Misdirected attempts reached another instance at the upstream's address.
 	Misdirected
-	// Abandoned attempts say nothing of the upstream.
+	// Abandoned attempts do not count for or against the upstream.
 	Abandoned
 )
 
 var outcomeNames = [...]string{"served", "refused", "failed", "unreachable", "misdirected", "abandoned"}
 
-// String returns the outcome's name.
+// String returns the name of the outcome in logs, or "invalid".
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -66,37 +72,41 @@
 	return "invalid"
 }
 
-// Need is what a request takes of an upstream.
+// Need is the capacity that a request uses at an upstream.
 type Need struct {
-	// Prompt and Output are tokens; both are zero for plain services. Output is a
-	// forecast, MaxOutput the caller's bound.
+	// Prompt, Output and MaxOutput count tokens and are zero for plain services.
+	// Output is a forecast, MaxOutput the caller's limit.
 	Prompt    int
 	Output    int
 	MaxOutput int
-	// Generated are tokens that were generated before, at another upstream.
+	// Generated is the number of tokens that other upstreams already generated for
+	// the request.
 	Generated int
-	// Copied is set if the upstream holds the prompt and what was made of it.
+	// Copied is set if the upstream has a copy of the generation, so that it
+	// need not process the prompt again.
 	Copied bool
 }
 
-// growAhead are the tokens that a running generation is expected to make before
-// others hear of its growth, about a second's.
-const growAhead = 120
+// growthMargin is the number of tokens that a running generation is expected to
+// generate before other daemons receive its new size, about one second's output.
+const growthMargin = 120
 
-// memory returns the tokens that the request is expected to hold.
-func (n Need) memory() int { return n.held(n.Generated) }
+// memory returns the number of tokens that the request is expected to reach in
+// the upstream's memory.
+func (n Need) memory() int { return n.memoryAfter(n.Generated) }
 
-// held returns the tokens that the request is expected to hold once it has made
-// some. Long generations outgrow their forecast, and more of those that run are
-// long than of those that start.
-func (n Need) held(made int) int {
+// memoryAfter returns the expected memory in tokens of a request that has
+// generated some. The forecast alone is too low: long generations exceed it, and
+// they are more frequent among running generations than among starting ones.
+func (n Need) memoryAfter(generated int) int {
 	if n.Prompt == 0 {
 		return 0
 	}
-	return n.Prompt + max(n.Output, made+growAhead)
+	return n.Prompt + max(n.Output, generated+growthMargin)
 }
 
-// unread returns the tokens that the upstream reads before the first event.
+// unread returns the number of prompt tokens that the upstream processes before
+// the first event.
 func (n Need) unread() int {
 	if n.Copied {
 		return 0
@@ -104,16 +114,17 @@
 	return n.Prompt
 }
 
-// Load is the work of one daemon at an upstream.
+// Load is the load of one or more daemons at an upstream.
 type Load struct {
+	// Running is the number of requests that have not ended.
 	Running int
-	// Unread are prompt tokens of requests without a first event.
+	// Unread is the number of prompt tokens of requests without a first event.
 	Unread int
-	// Memory are the tokens that the requests reach, Copies those of copies
-	// that are kept at the upstream.
+	// Memory and Copies are the expected memory in tokens of the requests and of
+	// the copies that are stored at the upstream.
 	Memory int
 	Copies int
-	// Ejections are the daemons that send no work there because of failures.
+	// Ejections is the number of daemons that eject the upstream.
 	Ejections int
 }
 
@@ -127,65 +138,71 @@
 
 func (l Load) empty() bool { return l == Load{} }
 
-// account is what is known of one upstream.
+// account is the load and health of one upstream.
 type account struct {
+	// own is the load of this daemon, without Ejections.
 	own     Load
 	service string
-	// reported are running and waiting requests by the upstream's own count.
+	// reported is the number of running and waiting requests that the upstream
+	// itself reported.
 	reported   int
 	reportedAt time.Time
-	// failures is a moving average between 0 and 1.
-	failures     float64
-	samples      int
-	ejections    int
-	ejectedUntil time.Time
-	avoidUntil   time.Time
-	// refusals counts the connections in a row that were refused.
+	// failureAverage is a moving average of outcomes: 0 if served, 1 if failed.
+	failureAverage float64
+	samples        int
+	ejections      int
+	ejectedUntil   time.Time
+	avoidUntil     time.Time
+	// refusals counts consecutive failed connection attempts.
 	refusals int
-	cold     bucket
+	// cold limits the rate of requests while the upstream is cold.
+	cold bucket
 }
 
-// out says whether this daemon sends no work to the upstream.
-func (a *account) out(now time.Time) bool {
+// avoided reports whether this daemon currently sends no work to the upstream.
+func (a *account) avoided(now time.Time) bool {
 	return now.Before(a.ejectedUntil) || now.Before(a.avoidUntil)
 }
 
-// Lease is a request's entry in the account of an upstream.
+// Lease counts one request in the load of an upstream until End is called. It
+// does not expire. It is safe for concurrent use.
 type Lease struct {
-	table *Table
-	id    bramleytack.UpstreamID
-	need  Need
-	once  sync.Once
-	begun bool
-	ended bool
-	// held is what the request has in the account's memory.
-	held int
+	table       *Table
+	id          bramleytack.UpstreamID
+	need        Need
+	once        sync.Once
+	prefillDone bool
+	ended       bool
+	// counted is the part of the account's memory that belongs to this request.
+	counted int
 }
 
-// PrefillDone notes that the upstream has read the prompt.
+// PrefillDone records that the upstream has processed the prompt. Calls after the
+// first have no effect.
 func (l *Lease) PrefillDone() {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	if l.begun {
+	if l.prefillDone {
 		return
 	}
-	l.begun = true
+	l.prefillDone = true
 	l.table.account(l.id).own.Unread -= l.need.unread()
-	l.table.changed(l.need)
+	l.table.notifyChanged(l.need)
 }
 
-// Grow notes how many tokens the request has made. Other daemons hear of it with
-// the next report.
-func (l *Lease) Grow(made int) {
+// Grow updates the memory of the request to the total number of tokens generated.
+// It does not call Table.Changed: the size goes out with the next report.
+func (l *Lease) Grow(generated int) {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	if more := l.need.held(made) - l.held; more > 0 && !l.ended {
-		l.held += more
-		l.table.account(l.id).own.Memory += more
+	if growth := l.need.memoryAfter(generated) - l.counted; growth > 0 && !l.ended {
+		l.counted += growth
+		l.table.account(l.id).own.Memory += growth
 	}
 }
 
-// End takes the request out of the account.
+// End removes the request from the load and records its outcome. Calls after the
+// first have no effect.
 func (l *Lease) End(o Outcome) {
 	l.once.Do(func() {
 		t := l.table
@@ -194,16 +211,17 @@
 		a := t.account(l.id)
 		l.ended = true
 		a.own.Running--
-		a.own.Memory -= l.held
-		if !l.begun {
+		a.own.Memory -= l.counted
+		if !l.prefillDone {
 			a.own.Unread -= l.need.unread()
 		}
-		t.judge(l.id, a, o)
-		t.changed(l.need)
+		t.recordOutcome(l.id, a, o)
+		t.notifyChanged(l.need)
 	})
 }
 
-// CopyLease is the entry of a generation's copy at an upstream.
+// CopyLease counts one copy of a generation in the load of an upstream until End
+// is called. It does not expire.
 type CopyLease struct {
 	table  *Table
 	id     bramleytack.UpstreamID
@@ -211,7 +229,8 @@
 	once   sync.Once
 }
 
-// End takes the copy out of the account.
+// End removes the copy from the load. A nil lease and calls after the first have
+// no effect.
 func (l *CopyLease) End() {
 	if l == nil {
 		return
@@ -220,7 +239,7 @@
 		l.table.mu.Lock()
 		defer l.table.mu.Unlock()
 		l.table.account(l.id).own.Copies -= l.tokens
-		l.table.changed(Need{Prompt: l.tokens})
+		l.table.notifyChanged(Need{Prompt: l.tokens})
 	})
 }
 
@@ -230,7 +249,8 @@
 	at    time.Time
 }
 
-// take spends one token if the rate and the burst allow it.
+// take spends one token if the rate and the burst allow it, and reports whether
+// it did.
 func (b *bucket) take(now time.Time, perSecond, burst float64) bool {
 	if !b.at.IsZero() {
 		b.spent = max(0, b.spent-now.Sub(b.at).Seconds()*perSecond)
--- a/internal/route/btaccount/doc.go
+++ b/internal/route/btaccount/doc.go
@@ -1,13 +1,14 @@
-// Package btaccount keeps what a daemon knows of the load and the health of
-// each upstream, and chooses upstreams by it.
+// Package btaccount tracks the load and health of each upstream as seen by one
+// daemon, and chooses upstreams by them.
 //
-// The account of an upstream adds up the requests of this daemon, those that
-// other daemons report, and the figures that upstreams put into their responses.
-// For model engines it counts tokens: prompts that are still to be read, and the
-// memory that running generations are expected to reach, copies included.
+// The load of an upstream is the sum of this daemon's requests and of those that
+// other daemons report, corrected by the request counts that upstreams put into
+// their responses. For model engines it also counts tokens: prompt tokens that
+// are still to be processed, and the memory that running generations and stored
+// copies are expected to reach.
 //
-// An upstream that fails more often than its peers is ejected for a while, as
-// long as enough others remain. It returns by single trial requests.
+// An upstream that fails more often than the others of its service is ejected
+// for a while, unless no others remain.
 //
 // # Usage
 //
--- a/internal/route/btaccount/health.go
+++ b/internal/route/btaccount/health.go
@@ -5,14 +5,15 @@
 	"bramleytack/btevent"
 )
 
-// Eligible returns the upstreams of a service that may get new work, without
-// those in tried. Ejected ones are left out as long as others remain, those that
-// only other daemons eject as long as half of the service remains.
+// Eligible returns the upstreams of a service that may get new work and are not
+// in tried. It leaves out those that this daemon avoids, unless no others remain,
+// and those that at least ejectQuorum other daemons have ejected, unless they are
+// more than half of the service or no others remain.
 func (t *Table) Eligible(s *bramleytack.Snapshot, service string, tried map[bramleytack.UpstreamID]bool) []*bramleytack.Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Timer.Now()
-	var good, doubted, ejected []*bramleytack.Upstream
+	var healthy, peerEjected, avoided []*bramleytack.Upstream
 	accepted := 0
 	for _, u := range s.ByService[service] {
 		if !s.Accepts(u.ID) {
@@ -23,33 +24,34 @@
 		a.service = service
 		switch {
 		case tried[u.ID]:
-		case a.out(now):
-			ejected = append(ejected, u)
-		case t.others[u.ID].Ejections >= ejectQuorum:
-			doubted = append(doubted, u)
+		case a.avoided(now):
+			avoided = append(avoided, u)
+		case t.peerTotals[u.ID].Ejections >= ejectQuorum:
+			peerEjected = append(peerEjected, u)
 		default:
-			good = append(good, u)
+			healthy = append(healthy, u)
 		}
 	}
-	if 2*len(doubted) > accepted || len(good) == 0 {
-		good = append(good, doubted...)
+	if 2*len(peerEjected) > accepted || len(healthy) == 0 {
+		healthy = append(healthy, peerEjected...)
 	}
-	if len(good) == 0 {
-		return ejected
+	if len(healthy) == 0 {
+		return avoided
 	}
-	return good
+	return healthy
 }
 
-// RecordFailure counts a failure of an upstream whose attempt ended as abandoned, before it
-// was known who was at fault.
+// RecordFailure counts a failure of an upstream whose attempt ended as Abandoned
+// because the failure could not yet be attributed to the upstream.
 func (t *Table) RecordFailure(id bramleytack.UpstreamID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.judge(id, t.account(id), Failed)
+	t.recordOutcome(id, t.account(id), Failed)
 }
 
-// judge takes the outcome of an attempt into the upstream's health.
-func (t *Table) judge(id bramleytack.UpstreamID, a *account, o Outcome) {
+// recordOutcome updates the upstream's health with the outcome of an attempt. The
+// caller holds the lock.
+func (t *Table) recordOutcome(id bramleytack.UpstreamID, a *account, o Outcome) {
 	now := t.Timer.Now()
 	if o == Served || o == Rejected {
 		a.refusals = 0
@@ -59,52 +61,52 @@
 	case Abandoned, Rejected:
 		return
 	case Misdirected:
-		a.avoidUntil = now.Add(misdirectedFor)
+		a.avoidUntil = now.Add(misdirectedPause)
 		return
 	case Unreachable:
 		if now.Before(a.avoidUntil) {
-			// Requests that were under way together count once.
+			// Concurrent attempts that found no connection count once.
 			return
 		}
-		// No ejection follows: it would outlast unreachableMost, and nothing that
-		// the upstream serves meanwhile would end it.
-		a.avoidUntil = now.Add(min(unreachableFor<<min(a.refusals, maxDoublings), unreachableMost))
+		// This does not count as a failure: an ejection can last longer than
+		// maxUnreachablePause, and served requests do not end it early.
+		a.avoidUntil = now.Add(min(firstUnreachablePause<<min(a.refusals, maxDoublings), maxUnreachablePause))
 		a.refusals++
 		return
 	case Failed:
 		failed = 1
 	}
 	a.samples++
-	a.failures += failureWeight * (failed - a.failures)
+	a.failureAverage += failureWeight * (failed - a.failureAverage)
 	if failed == 0 {
-		if a.failures < ejectAbove/2 {
+		if a.failureAverage < ejectThreshold/2 {
 			a.ejections = 0
 		}
 		return
 	}
-	if a.failures <= ejectAbove {
+	if a.failureAverage <= ejectThreshold {
 		return
 	}
-	if typical := t.typicalFailures(id, a.service); a.failures > typical+ejectMargin {
-		d := min(ejectFor<<min(a.ejections, maxDoublings), ejectMost)
+	if mean := t.meanFailures(id, a.service); a.failureAverage > mean+ejectMargin {
+		d := min(firstEjection<<min(a.ejections, maxDoublings), maxEjection)
 		a.ejections++
 		a.ejectedUntil = now.Add(d)
 		t.Log.Event(btevent.UpstreamEjected).Str("upstream", string(id)).Str("service", a.service).Stringer("outcome", o).
-			Float64("failures", a.failures).Float64("typical", typical).Dur("pause", d).Send()
-		a.failures = afterEjection
+			Float64("failures", a.failureAverage).Float64("typical", mean).Dur("pause", d).Send()
+		a.failureAverage = failuresAfterEjection
 		if t.Changed != nil {
 			t.Changed()
 		}
 	}
 }
 
-// typicalFailures returns the mean failure average of the service's other
-// upstreams.
-func (t *Table) typicalFailures(except bramleytack.UpstreamID, service string) float64 {
+// meanFailures returns the mean failure average of a service's upstreams other
+// than except, zero without any.
+func (t *Table) meanFailures(except bramleytack.UpstreamID, service string) float64 {
 	sum, n := 0.0, 0
 	for id, a := range t.accounts {
 		if id != except && a.service == service && a.samples > 0 {
-			sum += a.failures
+			sum += a.failureAverage
 			n++
 		}
 	}
--- a/internal/route/btaccount/table.go
+++ b/internal/route/btaccount/table.go
@@ -11,57 +11,65 @@
 )
 
 const (
-	// readPerMilli is the rate in tokens per millisecond at which engines read
-	// prompts between the tokens of running generations.
-	readPerMilli = 9.0
-	// runningMillis is what one more running generation costs those beside it
-	// over its life, in milliseconds of waiting.
+	// prefillPerMilli is the number of prompt tokens that an engine processes per
+	// millisecond beside running generations.
+	prefillPerMilli = 9.0
+	// runningMillis is the delay that one running generation adds to the others at
+	// its engine over its whole run.
 	runningMillis = 14.0
-	// memoryComfort is the share of an engine's memory up to which forecasts may
-	// rise without a risk of preemption.
-	memoryComfort = 0.85
-	// memoryMillis is the penalty of a forecast that exceeds the comfortable
-	// share by the whole memory.
+	// safeMemoryShare is the share of an engine's memory up to which forecasts
+	// carry no risk of preemption.
+	safeMemoryShare = 0.85
+	// memoryMillis is the penalty of a forecast that exceeds safeMemoryShare by the
+	// size of the whole memory, and of a full batch.
 	memoryMillis = 6000.0
-	// distanceMillis is the penalty of another failure domain.
-	distanceMillis = 4.0
-	// slowStart is how long a started upstream is slow, slowMillis its penalty.
-	slowStart  = 3 * time.Second
-	slowMillis = 60.0
-	// plainMillis is the penalty of a request at a plain service per slot.
+	// otherDomainMillis is the penalty of an upstream in another failure domain
+	// than this daemon.
+	otherDomainMillis = 4.0
+	// startPeriod is how long an upstream is slow after its start. Its penalty
+	// decreases from startMillis to zero over that time.
+	startPeriod = 3 * time.Second
+	startMillis = 60.0
+	// plainMillis is the penalty of an upstream of a plain service that runs as
+	// many requests as its warm limit.
 	plainMillis = 60.0
-	// alikeMillis is the difference of expected delays below which upstreams count
-	// as alike. Requests come in clumps at many daemons at once, which all see
-	// the same best upstream before they see each other's choice.
-	alikeMillis = 50.0
-	// noPlaceUse is the use of an engine whose batch is full.
-	noPlaceUse = 2.0
-	// coldBurst is the number of requests a cold upstream may get at once from
-	// one daemon.
+	// tieMillis is the largest difference of expected delays that counts as a tie.
+	// When a burst of requests reaches many daemons at once, all of them see the
+	// same best upstream until they receive each other's loads; drawing among ties
+	// spreads the burst.
+	tieMillis = 50.0
+	// fullBatchUse is the use of an engine whose batch is full. It lies above every
+	// memory limit that callers of PickWithMemoryLimit set.
+	fullBatchUse = 2.0
+	// coldBurst is the number of requests that one daemon may send to a cold
+	// upstream at once.
 	coldBurst = 1.0
 )
 
-// Table holds the accounts of all upstreams. It is safe for concurrent use.
+// Table holds the loads and the health of all upstreams. It is safe for concurrent
+// use. Timer must be set before the first use; the other fields are optional.
 type Table struct {
 	Timer bramleytack.Timer
 	// Domain is the failure domain of this daemon.
 	Domain bramleytack.FailureDomainID
-	// Daemons returns the number of daemons that share the cold limits.
+	// Daemons returns the number of daemons that share the cold limits. Nil means
+	// one.
 	Daemons func() int
-	// Changed is called, with the table locked, when this daemon's work at a
-	// model engine changes, or when it ejects an upstream.
+	// Changed is called when this daemon's load at a model engine changes, or when
+	// it ejects an upstream. The table is locked during the call, so Changed must
+	// not block or use the table.
 	Changed func()
-	// Log may be nil.
-	Log *btevent.Logger
+	Log     *btevent.Logger
 
 	mu       sync.Mutex
 	accounts map[bramleytack.UpstreamID]*account
 	peers    map[bramleytack.HostID]map[bramleytack.UpstreamID]Load
-	// others is the sum of peers.
-	others map[bramleytack.UpstreamID]Load
+	// peerTotals is the sum of the loads in peers.
+	peerTotals map[bramleytack.UpstreamID]Load
 }
 
-// account returns the account of an upstream. The caller holds the lock.
+// account returns the account of an upstream and creates it if there is none. The
+// caller holds the lock.
 func (t *Table) account(id bramleytack.UpstreamID) *account {
 	a := t.accounts[id]
 	if a == nil {
@@ -74,7 +82,7 @@
 	return a
 }
 
-// Begin enters a request.
+// Begin adds a request to the load of an upstream until the lease ends.
 func (t *Table) Begin(id bramleytack.UpstreamID, n Need) *Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,26 +90,29 @@
 	a.own.Running++
 	a.own.Unread += n.unread()
 	a.own.Memory += n.memory()
-	t.changed(n)
-	return &Lease{table: t, id: id, need: n, held: n.memory()}
+	t.notifyChanged(n)
+	return &Lease{table: t, id: id, need: n, counted: n.memory()}
 }
 
-func (t *Table) changed(n Need) {
+// notifyChanged calls Changed after a load change if the upstream is a model engine.
+func (t *Table) notifyChanged(n Need) {
 	if t.Changed != nil && n.Prompt > 0 {
 		t.Changed()
 	}
 }
 
-// BeginCopy enters a copy of a generation.
+// BeginCopy adds a copy of a generation to the load of an upstream until the lease
+// ends.
 func (t *Table) BeginCopy(id bramleytack.UpstreamID, n Need) *CopyLease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.account(id).own.Copies += n.memory()
-	t.changed(n)
+	t.notifyChanged(n)
 	return &CopyLease{table: t, id: id, tokens: n.memory()}
 }
 
-// Observe takes the running and waiting requests that an upstream reported.
+// Observe records the numbers of running and waiting requests that an upstream
+// reported. They are used for reportValidity.
 func (t *Table) Observe(id bramleytack.UpstreamID, running, waiting int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +120,8 @@
 	a.reported, a.reportedAt = running+waiting, t.Timer.Now()
 }
 
-// OwnLoads returns the loads of this daemon's requests.
+// OwnLoads returns the loads and ejections of this daemon, without upstreams where
+// it has neither. The caller owns the map.
 func (t *Table) OwnLoads() map[bramleytack.UpstreamID]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,42 +139,45 @@
 	return own
 }
 
-// SetPeer replaces what a daemon reports of its requests.
+// SetPeer replaces the loads that another daemon reported. The table keeps the
+// map; the caller must not change it afterwards.
 func (t *Table) SetPeer(h bramleytack.HostID, loads map[bramleytack.UpstreamID]Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.peers == nil {
 		t.peers = map[bramleytack.HostID]map[bramleytack.UpstreamID]Load{}
 	}
-	t.addPeer(t.peers[h], -1)
+	t.addPeerLoads(t.peers[h], -1)
 	t.peers[h] = loads
-	t.addPeer(loads, 1)
+	t.addPeerLoads(loads, 1)
 }
 
-// addPeer adds a daemon's loads to those of all, or takes them off.
-func (t *Table) addPeer(loads map[bramleytack.UpstreamID]Load, sign int) {
-	if t.others == nil {
-		t.others = map[bramleytack.UpstreamID]Load{}
+// addPeerLoads adds a daemon's loads to peerTotals if sign is 1, or subtracts them
+// if it is -1.
+func (t *Table) addPeerLoads(loads map[bramleytack.UpstreamID]Load, sign int) {
+	if t.peerTotals == nil {
+		t.peerTotals = map[bramleytack.UpstreamID]Load{}
 	}
 	for id, l := range loads {
-		sum := t.others[id]
+		sum := t.peerTotals[id]
 		sum.add(l, sign)
 		if sum.empty() {
-			delete(t.others, id)
+			delete(t.peerTotals, id)
 		} else {
-			t.others[id] = sum
+			t.peerTotals[id] = sum
 		}
 	}
 }
 
-// Retain drops the reports of daemons that are not alive, and the accounts of
-// upstreams that are gone and hold no request.
+// Retain removes the loads of daemons that are not alive, and the accounts of
+// upstreams that are not in the snapshot and have no request or copy of this
+// daemon.
 func (t *Table) Retain(s *bramleytack.Snapshot, alive map[bramleytack.HostID]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for h := range t.peers {
 		if !alive[h] {
-			t.addPeer(t.peers[h], -1)
+			t.addPeerLoads(t.peers[h], -1)
 			delete(t.peers, h)
 		}
 	}
@@ -173,17 +188,17 @@
 	}
 }
 
-// Pick returns one of the candidates with the lowest expected delays that the
-// cold limit allows, drawn at random, and its delay. It returns nil if there is
-// none.
+// Pick draws one of the candidates whose expected delay is within tieMillis of the
+// lowest, and returns it with its expected delay. It returns nil if the cold limit
+// excludes all candidates.
 func (t *Table) Pick(s *bramleytack.Snapshot, candidates []*bramleytack.Upstream, n Need) (*bramleytack.Upstream, time.Duration) {
 	u, d, _ := t.PickWithMemoryLimit(s, candidates, n, math.Inf(1))
 	return u, d
 }
 
-// PickWithMemoryLimit is Pick among the candidates whose forecast use of memory, the
-// request included, is at most limit. It says whether all that the cold limit
-// allows are fuller.
+// PickWithMemoryLimit is like Pick, but only considers candidates whose forecast
+// share of memory in use, the request included, is at most limit. If it returns
+// nil, the last result reports whether the memory limit excluded any candidate.
 func (t *Table) PickWithMemoryLimit(s *bramleytack.Snapshot, candidates []*bramleytack.Upstream, n Need, limit float64) (*bramleytack.Upstream, time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,13 +218,13 @@
 		scores[i] = t.score(s, u, n, l, now)
 		best = min(best, scores[i])
 	}
-	chosen, seen := -1, 0
+	chosen, ties := -1, 0
 	for i, score := range scores {
-		if score > best+alikeMillis || math.IsInf(score, 1) {
+		if score > best+tieMillis || math.IsInf(score, 1) {
 			continue
 		}
-		// Each of the alike ones is kept with the same probability.
-		if seen++; rand.IntN(seen) == 0 {
+		// Reservoir sampling chooses each tie with the same probability.
+		if ties++; rand.IntN(ties) == 0 {
 			chosen = i
 		}
 	}
@@ -219,8 +234,9 @@
 	return candidates[chosen], time.Duration(scores[chosen] * float64(time.Millisecond)), false
 }
 
-// use returns the share of an engine's memory that is in use with one more
-// request. An engine without a free place counts as full.
+// use returns the forecast share of an engine's memory in use with one more
+// request, at least fullBatchUse if no slot of its batch is free. It is zero for
+// plain services.
 func use(s *bramleytack.Snapshot, u *bramleytack.Upstream, n Need, l Load) float64 {
 	profile := s.Engine(u.Service)
 	if profile == nil || profile.MemoryTokens <= 0 {
@@ -228,28 +244,28 @@
 	}
 	share := float64(l.Memory+l.Copies+n.memory()) / float64(profile.MemoryTokens)
 	if l.Running >= profile.Slots {
-		return max(share, noPlaceUse)
+		return max(share, fullBatchUse)
 	}
 	return share
 }
 
-// score returns the expected delay in milliseconds.
+// score returns the expected delay in milliseconds, penalties included.
 func (t *Table) score(s *bramleytack.Snapshot, u *bramleytack.Upstream, n Need, l Load, now time.Time) float64 {
 	score := 0.0
 	if u.FailureDomain != t.Domain {
-		score += distanceMillis
+		score += otherDomainMillis
 	}
-	if age := now.Sub(u.Started); age >= 0 && age < slowStart {
-		score += slowMillis * (1 - age.Seconds()/slowStart.Seconds())
+	if age := now.Sub(u.Started); age >= 0 && age < startPeriod {
+		score += startMillis * (1 - age.Seconds()/startPeriod.Seconds())
 	}
 	profile := s.Engine(u.Service)
 	if profile == nil {
 		return score + plainMillis*float64(l.Running)/float64(max(u.WarmLimit, 1))
 	}
-	score += float64(l.Unread)/readPerMilli + runningMillis*float64(l.Running)
+	score += float64(l.Unread)/prefillPerMilli + runningMillis*float64(l.Running)
 	use := float64(l.Memory+l.Copies/2+n.memory()) / float64(max(profile.MemoryTokens, 1))
-	if use > memoryComfort {
-		score += memoryMillis * (use - memoryComfort)
+	if use > safeMemoryShare {
+		score += memoryMillis * (use - safeMemoryShare)
 	}
 	if l.Running >= profile.Slots {
 		score += memoryMillis
@@ -257,19 +273,20 @@
 	return score
 }
 
-// load adds up what all daemons and the upstream itself report.
+// load returns the load of all daemons at an upstream. Running is at least the
+// number that the upstream itself reported recently.
 func (t *Table) load(id bramleytack.UpstreamID, now time.Time) Load {
 	a := t.account(id)
 	l := a.own
-	l.add(t.others[id], 1)
-	if now.Sub(a.reportedAt) < loadFresh {
+	l.add(t.peerTotals[id], 1)
+	if now.Sub(a.reportedAt) < reportValidity {
 		l.Running = max(l.Running, a.reported)
 	}
 	return l
 }
 
-// coldAllows says whether the cold limit leaves room for a request, and with
-// spend takes the room.
+// coldAllows reports whether the cold limit of an upstream allows a request now. If
+// spend is set, it also counts the request.
 func (t *Table) coldAllows(s *bramleytack.Snapshot, u *bramleytack.Upstream, now time.Time, spend bool) bool {
 	r := s.Services[u.Service]
 	if r == nil || r.ColdPerSecond <= 0 || !now.Before(u.ColdUntil) {
--- a/internal/route/btaccount/table_test.go
+++ b/internal/route/btaccount/table_test.go
@@ -17,7 +17,7 @@
 
 const service = "engines"
 
-// guide is a long generation of usual size.
+// guide is the need of a long generation of typical size.
 var guide = Need{Prompt: 3000, Output: 900, MaxOutput: 2000}
 
 // fleet returns a snapshot of n engines over three failure domains.
@@ -52,7 +52,7 @@
 
 func newTable(timer *bttimer.Service) *Table { return &Table{Timer: timer, Domain: "d0"} }
 
-// pick chooses an upstream and begins a request there.
+// pick chooses an upstream and begins a request there that does not end.
 func pick(t *testing.T, table *Table, s *bramleytack.Snapshot, n Need) *bramleytack.Upstream {
 	t.Helper()
 	u, _ := table.Pick(s, table.Eligible(s, service, nil), n)
@@ -61,10 +61,10 @@
 	return u
 }
 
-// Pattern: a clump of requests reaches many daemons before they see each other's
-// choice. Guards against all of them meeting at the engine with the best figures
+// Guards against a burst at one engine: requests reach many daemons before they
+// receive each other's loads, and all choose the engine with the lowest delay
 // (grown Foldwell site, quiet-1: four prompts at one engine within 20 ms).
-func TestClumpSpreadsOverEngines(t *testing.T) {
+func TestBurstSpreadsOverEngines(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(45)
 		for round := range 50 {
@@ -81,8 +81,8 @@
 	})
 }
 
-// Pattern: steady load at one daemon that knows the others' work. Guards against
-// uneven memory and prompts that wait behind others while engines are idle.
+// Guards against uneven memory, and against prompts that queue while other engines
+// are idle, under steady load at two daemons that receive each other's loads.
 func TestLoadIsEven(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(12)
@@ -100,49 +100,49 @@
 	})
 }
 
-// Pattern: generations need most of the engines' memory. Guards against copies
-// that crowd out running work (grown Foldwell site, quiet-1: 60 preemptions).
+// Guards against backup copies that displace running generations when these need
+// most of the engines' memory (grown Foldwell site, quiet-1: 60 preemptions).
 func TestCopiesNeedSpareMemory(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(12)
 		table := newTable(timer)
 		primary := pick(t, table, s, guide)
-		assert.Assert(t, table.PickBackup(s, primary, guide) != nil, "idle engines take no copy")
+		assert.Assert(t, table.PickBackup(s, primary, guide) != nil, "no idle engine takes a copy")
 		for range 55 {
 			pick(t, table, s, guide)
 		}
-		assert.Assert(t, table.PickBackup(s, primary, guide) == nil, "full engines take a copy")
+		assert.Assert(t, table.PickBackup(s, primary, guide) == nil, "a full engine takes a copy")
 		assert.Assert(t, table.PickTarget(s, primary, guide) != nil, "a running generation finds no engine")
 	})
 }
 
-// Pattern: an engine leaves and many daemons move its generations at once.
-// Guards against all moves queueing at one target's link.
+// Guards against moves that all queue at the link of one target when an engine
+// leaves and many daemons move its generations at once.
 func TestMovesSpread(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(12)
 		primary := s.ByService[service][0]
 		count := map[bramleytack.UpstreamID]int{}
-		near := 0
-		// Enough draws that chance stays far from the bound of one half.
+		sameDomain := 0
+		// Enough draws that random variation stays far from the limit of one half.
 		const moves = 600
 		for range moves {
 			u := newTable(timer).PickTarget(s, primary, guide)
 			count[u.ID]++
 			if u.FailureDomain == primary.FailureDomain {
-				near++
+				sameDomain++
 			}
 		}
 		for id, n := range count {
 			assert.Assert(t, n <= moves/2, "%d of %d moves go to %s", n, moves, id)
 		}
-		assert.Assert(t, near >= moves/3, "%d of %d moves stay in the failure domain", near, moves)
+		assert.Assert(t, sameDomain >= moves/3, "%d of %d moves stay in the failure domain", sameDomain, moves)
 	})
 }
 
-// Pattern: engines are nearly full and a few have just come, when others leave.
-// Guards against all moves meeting at the new ones (grown Foldwell site, scale-1:
-// 25 moves to one engine within 0.4 s, whose link takes six a second).
+// Guards against moves that all go to a few new engines while the others are
+// nearly full (grown Foldwell site, scale-1: 25 moves to one engine within 0.4 s,
+// whose link takes six per second).
 func TestMovesSpreadOverFreeMemory(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(33)
@@ -165,13 +165,13 @@
 		for id, n := range count {
 			assert.Assert(t, n <= moves*45/100, "%d of %d moves go to %s", n, moves, id)
 		}
-		assert.Assert(t, len(count) >= 8, "moves go to %d engines only", len(count))
+		assert.Assert(t, len(count) >= 8, "moves go to only %d engines", len(count))
 	})
 }
 
-// Pattern: long generations outgrow their forecast. Guards against engines that
-// are filled by the forecast alone (grown Foldwell site: 477 tokens forecast, 825
-// made in the mean).
+// Guards against engines that are overfilled because running generations exceed
+// their forecast (grown Foldwell site: 477 tokens forecast, 825 generated on
+// average).
 func TestGrownGenerationCounts(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
@@ -182,7 +182,7 @@
 		grown.Grow(100)
 		assert.Equal(t, table.OwnLoads()["e00"].Memory, table.OwnLoads()["e01"].Memory)
 		grown.Grow(4 * guide.Output)
-		assert.Equal(t, table.OwnLoads()["e00"].Memory, guide.Prompt+4*guide.Output+growAhead)
+		assert.Equal(t, table.OwnLoads()["e00"].Memory, guide.Prompt+4*guide.Output+growthMargin)
 		_, _, full := table.PickWithMemoryLimit(s, s.ByService[service][:1], Need{Prompt: 22000, Output: 100}, 1)
 		assert.Assert(t, full)
 		grown.End(Served)
@@ -191,8 +191,7 @@
 	})
 }
 
-// Pattern: many daemons and one cold engine. Guards against more requests than
-// it bears.
+// Guards against many daemons that together exceed the cold limit of one engine.
 func TestColdLimitIsShared(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		const daemons = 8
@@ -212,81 +211,80 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		// 40 in the second, and one at once from each daemon.
+		// The limit of 40 per second, and a burst of one from each daemon.
 		assert.Assert(t, sent <= 40+daemons, "%d requests in a second", sent)
 		assert.Assert(t, sent >= 30, "%d requests in a second", sent)
 	})
 }
 
-// Pattern: one upstream fails part of its requests while its health check is
-// good. Guards against work that goes on to it, and against a service without
-// any upstream when all of them fail.
+// Guards against work that still goes to an upstream which fails some requests
+// while its health check passes, and against a service without any eligible
+// upstream when all of them fail.
 func TestFailingUpstreamIsEjected(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(3)
 		table := newTable(timer)
-		fail := func(id bramleytack.UpstreamID, o Outcome) { table.Begin(id, Need{}).End(o) }
+		end := func(id bramleytack.UpstreamID, o Outcome) { table.Begin(id, Need{}).End(o) }
 		for range 5 {
-			fail("e00", Failed)
-			fail("e01", Served)
-			fail("e02", Served)
+			end("e00", Failed)
+			end("e01", Served)
+			end("e02", Served)
 		}
 		assert.Equal(t, len(table.Eligible(s, service, nil)), 2)
-		time.Sleep(ejectMost + time.Second)
+		time.Sleep(maxEjection + time.Second)
 		assert.Equal(t, len(table.Eligible(s, service, nil)), 3, "an ejection never ends")
 		for range 20 {
 			for _, u := range s.ByService[service] {
-				fail(u.ID, Failed)
+				end(u.ID, Failed)
 			}
 		}
-		assert.Assert(t, len(table.Eligible(s, service, nil)) > 0, "no upstream is left")
+		assert.Assert(t, len(table.Eligible(s, service, nil)) > 0, "no upstream is eligible")
 	})
 }
 
-// Pattern: one upstream of three fails all requests, and each of many daemons
-// sends it few. Guards against daemons that find out one after the other (grown
-// Foldwell site, scale-1: 152 orders lost to one upstream in 6 s), and against
-// the word of one daemon or of most upstreams' failures.
+// Guards against daemons that each have to detect a failing upstream alone (grown
+// Foldwell site, scale-1: 152 orders lost to one upstream in 6 s). The ejections of
+// a single daemon must not count, nor those of most of a service's upstreams.
 func TestEjectionIsShared(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(3)
-		told := 0
+		changes := 0
 		var lines bytes.Buffer
-		sick := newTable(timer)
-		sick.Log = btevent.New(&lines, 0, "h1")
-		sick.Changed = func() { told++ }
-		sick.Eligible(s, service, nil)
+		peer := newTable(timer)
+		peer.Log = btevent.New(&lines, 0, "h1")
+		peer.Changed = func() { changes++ }
+		peer.Eligible(s, service, nil)
 		for range 2 {
-			sick.Begin("e00", Need{}).End(Failed)
+			peer.Begin("e00", Need{}).End(Failed)
 		}
-		assert.Assert(t, told > 0, "an ejection is not told")
+		assert.Assert(t, changes > 0, "an ejection does not call Changed")
 		assert.Assert(t, strings.Contains(lines.String(), `"upstream":"e00"`), "an ejection is not logged")
-		assert.Equal(t, sick.OwnLoads()["e00"].Ejections, 1)
+		assert.Equal(t, peer.OwnLoads()["e00"].Ejections, 1)
 		table := newTable(timer)
 		count := func() int { return len(table.Eligible(s, service, nil)) }
 		hosts := []bramleytack.HostID{"h1", "h2", "h3"}
-		hear := func(loads map[bramleytack.UpstreamID]Load) {
+		receive := func(loads map[bramleytack.UpstreamID]Load) {
 			for _, h := range hosts {
 				table.SetPeer(h, loads)
 			}
 		}
-		table.SetPeer("h1", sick.OwnLoads())
-		assert.Equal(t, count(), 3, "one daemon's word counts")
-		hear(sick.OwnLoads())
+		table.SetPeer("h1", peer.OwnLoads())
+		assert.Equal(t, count(), 3, "the ejection of a single daemon counts")
+		receive(peer.OwnLoads())
 		assert.Equal(t, count(), 2)
-		more := map[bramleytack.UpstreamID]Load{"e00": {Ejections: 1}, "e01": {Ejections: 1}}
-		hear(more)
-		assert.Equal(t, count(), 3, "less than half of the service is left")
-		time.Sleep(ejectMost)
-		hear(sick.OwnLoads())
-		assert.Equal(t, count(), 3, "an ejection outlives its end")
-		sick.Begin("e00", Need{}).End(Failed)
-		assert.Equal(t, sick.OwnLoads()["e00"].Ejections, 0, "one failure after the end counts")
+		two := map[bramleytack.UpstreamID]Load{"e00": {Ejections: 1}, "e01": {Ejections: 1}}
+		receive(two)
+		assert.Equal(t, count(), 3, "less than half of the service is eligible")
+		time.Sleep(maxEjection)
+		receive(peer.OwnLoads())
+		assert.Equal(t, count(), 3, "an ejection has not expired")
+		peer.Begin("e00", Need{}).End(Failed)
+		assert.Equal(t, peer.OwnLoads()["e00"].Ejections, 0, "one failure after an ejection ejects again")
 	})
 }
 
-// Pattern: an engine fails beside plain services that always fail some calls.
-// Guards against a comparison with upstreams of other services.
+// Guards against failure averages that are compared with upstreams of other
+// services, such as a plain service whose calls always fail.
 func TestEjectionComparesWithinTheService(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(3)
@@ -311,19 +309,18 @@
 	})
 }
 
-// Pattern: upstreams end while the store is away and stay registered. Guards
-// against requests that meet each of them again and again, and against moves to
-// them.
-func TestEndedUpstreamIsAvoidedForLonger(t *testing.T) {
+// Guards against repeated attempts at an upstream that has ended but stays
+// registered while the store is unavailable, and against moves to it.
+func TestUnreachablePauseGrows(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
 		table := newTable(timer)
-		met := 0
+		attempts := 0
 		for range 200 {
 			u, _ := table.Pick(s, table.Eligible(s, service, nil), Need{})
 			l := table.Begin(u.ID, Need{})
 			if u.ID == "e00" {
-				met++
+				attempts++
 				l.End(Unreachable)
 				assert.Assert(t, table.PickTarget(s, s.Upstreams["e01"], guide) == nil, "a move goes to an ended engine")
 			} else {
@@ -331,16 +328,16 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Assert(t, met > 0 && met <= 9, "%d of 200 requests met the ended upstream", met)
+		assert.Assert(t, attempts > 0 && attempts <= 9, "%d of 200 requests went to the ended upstream", attempts)
 		table.Begin("e00", Need{}).End(Served)
-		time.Sleep(unreachableMost)
-		assert.Equal(t, len(table.Eligible(s, service, nil)), 2, "an upstream that is back is avoided")
+		time.Sleep(maxUnreachablePause)
+		assert.Equal(t, len(table.Eligible(s, service, nil)), 2, "a reachable upstream is avoided")
 	})
 }
 
-// Guards against an ejection on top of the pause after refused connections, which
-// kept work from an upstream for 8 s after it was back.
-func TestReturnedUpstreamIsUsedInTime(t *testing.T) {
+// Guards against an ejection in addition to the pause after refused connections,
+// which kept an upstream without work for 8 s after it was reachable again.
+func TestUnreachablePauseIsBounded(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
 		table := newTable(timer)
@@ -353,12 +350,13 @@
 			for len(table.Eligible(s, service, nil)) < 2 {
 				time.Sleep(100 * time.Millisecond)
 			}
-			assert.Assert(t, timer.Now().Sub(refused) <= unreachableMost, "avoided for %v", timer.Now().Sub(refused))
+			assert.Assert(t, timer.Now().Sub(refused) <= maxUnreachablePause, "avoided for %v", timer.Now().Sub(refused))
 		}
 	})
 }
 
-// Guards against accounts that drift: every lease must give back what it took.
+// Guards against loads that drift: an ended lease must remove exactly what it
+// added, also if a call is repeated.
 func TestLeasesBalance(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		table := newTable(timer)
@@ -375,8 +373,8 @@
 	})
 }
 
-// Guards against the work of a dead daemon that is counted forever.
-func TestDeadDaemonIsForgotten(t *testing.T) {
+// Guards against loads of a dead daemon that are never removed.
+func TestRetainRemovesDeadDaemons(t *testing.T) {
 	inTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
 		table := newTable(timer)
--- a/internal/route/btforecast/doc.go
+++ b/internal/route/btforecast/doc.go
@@ -1,8 +1,8 @@
-// Package btforecast predicts how long generations become.
+// Package btforecast predicts the output lengths of generations in tokens.
 //
-// A caller's hint is right in the median and often far off, and the lengths of
-// one route's generations spread less than the hints. The forecast weighs both
-// on a logarithmic scale.
+// Callers' hints are right in the median but often far off; the lengths of one
+// route's generations vary less. The forecast is the weighted mean of the hint and
+// the route's median length on a logarithmic scale.
 //
 // # Usage
 //
--- a/internal/route/btforecast/lengths_test.go
+++ b/internal/route/btforecast/lengths_test.go
@@ -8,8 +8,8 @@
 	"bramleytack/bttimer"
 )
 
-// Guards against forecasts that follow a wrong hint, and against ones beyond the
-// caller's bound (Foldwell quiet-1: a hint of 44 tokens, 700 came).
+// Guards against forecasts that follow a wrong hint (Foldwell quiet-1: a hint of 44
+// tokens, 700 generated), and against forecasts above the caller's bound.
 func TestForecast(t *testing.T) {
 	timer := bttimer.New(1)
 	defer timer.Close()
@@ -18,9 +18,9 @@
 		l.Learn("guides", 900)
 		l.Learn("tags", 12)
 	}
-	within := func(got, least, most int) {
+	within := func(got, lowest, highest int) {
 		t.Helper()
-		assert.Assert(t, got >= least && got <= most, "%d is not in %d to %d", got, least, most)
+		assert.Assert(t, got >= lowest && got <= highest, "%d is not in %d to %d", got, lowest, highest)
 	}
 	within(l.Forecast("guides", 0, 2000), 700, 1200)
 	within(l.Forecast("guides", 44, 2000), 200, 900)
