--- a/internal/upstream/btconn/conn.go
+++ b/internal/upstream/btconn/conn.go
@@ -19,42 +19,43 @@
 )
 
 const (
-	// readBuffer holds a response head and a few events.
-	readBuffer = 8 << 10
-	// inlineBody is the largest body that is written before the response is
-	// read; larger ones are written beside the reading.
-	inlineBody = 16 << 10
-	// tcpUserTimeout is the option's number on Linux.
+	// readBufferBytes is enough for a response head and a few events.
+	readBufferBytes = 8 << 10
+	// maxInlineBody is the largest request body in bytes that is written before the
+	// response is read. Larger ones are written concurrently.
+	maxInlineBody = 16 << 10
+	// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define on amd64.
 	tcpUserTimeout = 0x12
 )
 
 // Errors of a connection.
 var (
-	// ErrUnsent means that no byte of the request left.
+	// ErrUnsent means that no byte of the request was sent.
 	ErrUnsent = errors.New("btconn: request was not sent")
-	// ErrMalformed means that the bytes are no response.
+	// ErrMalformed means that the received bytes are not an HTTP response.
 	ErrMalformed = errors.New("btconn: response is malformed")
 )
 
-// UserTimeoutControl returns a dialer's control function that closes a connection
-// whose bytes stay unacknowledged for d.
+// UserTimeoutControl returns a function for net.Dialer.Control. It makes the kernel
+// close a connection whose sent bytes stay unacknowledged for d.
 func UserTimeoutControl(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
-		var serr error
+		var optErr error
 		err := c.Control(func(fd uintptr) {
-			serr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+			optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return serr
+		return optErr
 	}
 }
 
-// Request is one request to an upstream.
+// Request is one request to an upstream. Do adds the Host and
+// Content-Length headers.
 type Request struct {
 	Method string
-	// Target is the request target as the caller sent it.
+	// Target is the path and query as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
@@ -68,32 +69,35 @@
 	conn   net.Conn
 	r      *bufio.Reader
 	reused bool
-	// idleUntil is when the upstream may close the connection.
+	// idleUntil is the time until which the connection may be reused.
 	idleUntil time.Time
 }
 
-// Reused says whether the connection carried a request before.
+// Reused reports whether the connection carried a request before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Exchange is a request whose response has begun.
+// Exchange is a sent request with the head of its response. It must be closed.
 type Exchange struct {
 	conn *Conn
-	// Response is the head. Its body ends with an error unless it is complete.
+	// Response is the response. Its Body is the exchange itself and returns an
+	// error other than io.EOF if the body is cut short.
 	*http.Response
-	stop     func() bool
-	written  chan struct{}
+	// stop detaches the connection from the context.
+	stop func() bool
+	// bodySent is closed when the request body has been written or has failed.
+	bodySent chan struct{}
 	writeErr atomic.Bool
-	done     bool
+	complete bool
 	once     sync.Once
-	// body is the response's own body, which Read watches for its end.
+	// body is the original body of the response.
 	body io.Reader
 }
 
-// Do sends a request and reads the head of its response. The context bounds
-// the whole exchange; its end closes the connection. An error that wraps
-// ErrUnsent proves that the upstream has not seen the request.
+// Do sends a request and reads the head of its response. If the context ends before
+// the exchange is closed, the connection is closed. An error that wraps ErrUnsent
+// means that the upstream has not received any part of the request.
 func (c *Conn) Do(ctx context.Context, r *Request) (*Exchange, error) {
-	x := &Exchange{conn: c, written: make(chan struct{})}
+	x := &Exchange{conn: c, bodySent: make(chan struct{})}
 	x.stop = context.AfterFunc(ctx, func() { c.conn.Close() })
 	if err := x.send(r); err != nil {
 		x.abandon()
@@ -112,24 +116,24 @@
 
 func (x *Exchange) send(r *Request) error {
 	head := r.appendHead(make([]byte, 0, 1024))
-	if len(r.Body) <= inlineBody {
-		close(x.written)
+	if len(r.Body) <= maxInlineBody {
+		close(x.bodySent)
 		n, err := x.conn.conn.Write(append(head, r.Body...))
 		return sendError(n, err)
 	}
 	n, err := x.conn.conn.Write(head)
 	if err != nil {
-		close(x.written)
+		close(x.bodySent)
 		return sendError(n, err)
 	}
-	go x.run(r.Body)
+	go x.sendBody(r.Body)
 	return nil
 }
 
-// run writes a long body while the response is awaited: the upstream may answer
-// before it has read all of it.
-func (x *Exchange) run(body []byte) {
-	defer close(x.written)
+// sendBody writes a large body while Do waits for the response, since the upstream
+// may respond before it has read the whole body.
+func (x *Exchange) sendBody(body []byte) {
+	defer close(x.bodySent)
 	if _, err := x.conn.conn.Write(body); err != nil {
 		x.writeErr.Store(true)
 	}
@@ -142,7 +146,7 @@
 	case n == 0:
 		return errors.Wrapf(ErrUnsent, "%v", err)
 	}
-	return errors.Wrap(err, "btconn: send")
+	return errors.Wrap(err, "btconn: send request")
 }
 
 func (r *Request) appendHead(b []byte) []byte {
@@ -157,6 +161,7 @@
 	return w.Bytes()
 }
 
+// readHead reads the head of the final response and skips interim responses.
 func (c *Conn) readHead(method string) (*http.Response, error) {
 	for {
 		if _, err := c.r.Peek(1); err != nil {
@@ -172,31 +177,31 @@
 	}
 }
 
-// Read reads the body.
+// Read reads the response body.
 func (x *Exchange) Read(p []byte) (int, error) {
 	n, err := x.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		x.done = true
+		x.complete = true
 	}
 	return n, err
 }
 
-// Complete says whether the whole body was read.
-func (x *Exchange) Complete() bool { return x.done }
+// Complete reports whether the response body was read to its end.
+func (x *Exchange) Complete() bool { return x.complete }
 
-// Close returns the connection to its pool if the exchange is complete, and
-// closes it otherwise.
+// Close returns the connection to its pool if the exchange is complete and the
+// connection can be reused, and closes it otherwise. It never returns an error.
 func (x *Exchange) Close() error {
 	x.once.Do(x.finish)
 	return nil
 }
 
 func (x *Exchange) finish() {
-	if !x.stop() || !x.done || !x.reusable() {
+	if !x.stop() || !x.complete || !x.reusable() {
 		x.conn.conn.Close()
 		return
 	}
-	x.conn.keep(x.Header)
+	x.conn.release(x.Header)
 }
 
 func (x *Exchange) abandon() {
@@ -206,21 +211,24 @@
 	})
 }
 
-// reusable says whether nothing of this exchange can reach the next one.
+// reusable reports whether no bytes of this exchange can interfere with the next
+// one on the connection.
 func (x *Exchange) reusable() bool {
 	select {
-	case <-x.written:
+	case <-x.bodySent:
 	default:
 		return false
 	}
-	return !x.writeErr.Load() && !x.Response.Close && x.conn.r.Buffered() == 0 && x.framed()
+	return !x.writeErr.Load() && !x.Response.Close && x.conn.r.Buffered() == 0 && x.hasFraming()
 }
 
-func (x *Exchange) framed() bool {
+// hasFraming reports whether the response body ends without a close of the
+// connection.
+func (x *Exchange) hasFraming() bool {
 	return x.ContentLength >= 0 || len(x.TransferEncoding) > 0
 }
 
-// keepAlive returns the idle time that the upstream announces.
+// keepAlive returns the idle timeout in the Keep-Alive header, or defaultKeepAlive.
 func keepAlive(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -231,12 +239,12 @@
 			return time.Duration(s) * time.Second
 		}
 	}
-	return defaultIdle
+	return defaultKeepAlive
 }
 
-// quiet says whether the peer has neither closed the connection nor sent
+// usable reports whether the peer has neither closed an idle connection nor sent
 // anything on it.
-func (c *Conn) quiet() bool {
+func (c *Conn) usable() bool {
 	sc, ok := c.conn.(syscall.Conn)
 	if !ok || c.r.Buffered() > 0 {
 		return c.r.Buffered() == 0
@@ -245,12 +253,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, _, rerr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(rerr, syscall.EAGAIN)
+		_, _, recvErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		usable = errors.Is(recvErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
--- a/internal/upstream/btconn/conn_test.go
+++ b/internal/upstream/btconn/conn_test.go
@@ -20,31 +20,31 @@
 
 var addr = netip.MustParseAddrPort("10.1.0.1:80")
 
-// script answers each request of a connection with the next text. An empty text
-// closes the connection.
-type script struct {
+// server sends one of texts for each request of a connection, in order. An empty
+// text closes the connection.
+type server struct {
 	l     net.Listener
 	texts []string
-	// early sends the answer before the body is read.
+	// early sends the response before the request body is read.
 	early bool
 }
 
-func (s *script) run() {
+func (s *server) run() {
 	for {
 		c, err := s.l.Accept()
 		if err != nil {
 			return
 		}
-		go (&talk{s, c}).run()
+		go (&serverConn{s, c}).run()
 	}
 }
 
-type talk struct {
-	s *script
+type serverConn struct {
+	s *server
 	c net.Conn
 }
 
-func (t *talk) run() {
+func (t *serverConn) run() {
 	defer t.c.Close()
 	r := bufio.NewReader(t.c)
 	for _, text := range t.s.texts {
@@ -61,17 +61,17 @@
 		if _, err := io.WriteString(t.c, text); err != nil {
 			return
 		}
-		// An upstream that answered early reads on.
+		// An early response does not stop the reading of the request body.
 		_, _ = io.Copy(io.Discard, req.Body)
 	}
-	// Holds the connection open.
+	// Keep the connection open until the client closes it.
 	_, _ = io.Copy(io.Discard, t.c)
 }
 
 func serve(t *testing.T, early bool, f func(ctx context.Context, p *Pool), texts ...string) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &btmemnet.Network{}
-		s := &script{l: network.Listen(addr), texts: texts, early: early}
+		s := &server{l: network.Listen(addr), texts: texts, early: early}
 		go s.run()
 		p := &Pool{Dial: func(ctx context.Context, _, a string) (net.Conn, error) {
 			return btmemnet.Dialer{Network: network, From: netip.MustParseAddr("10.0.0.1")}.DialPeer(ctx, netip.MustParseAddrPort(a))
@@ -85,8 +85,8 @@
 	})
 }
 
-// ask sends a request and reads the response.
-func ask(ctx context.Context, p *Pool, body string) (string, *Conn, error) {
+// roundTrip sends a request and reads the response.
+func roundTrip(ctx context.Context, p *Pool, body string) (string, *Conn, error) {
 	c, err := p.Get(ctx, addr)
 	if err != nil {
 		return "", nil, err
@@ -100,27 +100,28 @@
 	return string(data), c, err
 }
 
-const answered = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Guards against reuse of connections that carry anything but one whole answer.
+// Guards against reuse of connections after anything but exactly one complete
+// response.
 func TestReuse(t *testing.T) {
 	cases := []struct {
 		name   string
 		text   string
 		reused bool
 	}{
-		{"whole", answered, true},
-		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
-		{"second answer", answered + answered, false},
+		{"complete", okResponse, true},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", true},
+		{"second response", okResponse + okResponse, false},
 		{"close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false},
 		{"no idle time", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", false},
-		{"interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + answered, true},
+		{"interim response", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			serve(t, false, func(ctx context.Context, p *Pool) {
 				for range 2 {
-					body, _, err := ask(ctx, p, "x")
+					body, _, err := roundTrip(ctx, p, "x")
 					assert.NilError(t, err)
 					assert.Equal(t, body, "ok")
 				}
@@ -130,20 +131,20 @@
 	}
 }
 
-// Guards against broken answers that look whole, and against "unsent" for a
-// request that may have run.
-func TestBrokenAnswers(t *testing.T) {
+// Guards against broken responses that are taken for complete, and against ErrUnsent
+// for a request that may have run.
+func TestBrokenResponses(t *testing.T) {
 	cases := []struct{ name, text string }{
 		{"closed", ""},
 		{"garbage", "hello\r\n\r\n"},
-		{"cut head", "HTTP/1.1 200 OK\r\nContent-"},
-		{"cut body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"},
-		{"cut chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok"},
+		{"truncated head", "HTTP/1.1 200 OK\r\nContent-"},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"},
+		{"truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			serve(t, false, func(ctx context.Context, p *Pool) {
-				_, _, err := ask(ctx, p, "x")
+				_, _, err := roundTrip(ctx, p, "x")
 				assert.Assert(t, err != nil)
 				assert.Assert(t, !errors.Is(err, ErrUnsent))
 			}, c.text, "")
@@ -151,7 +152,8 @@
 	}
 }
 
-// Guards against a "not run" that is missing when nobody listens.
+// Guards against an error that does not wrap ErrUnsent when no connection was
+// possible.
 func TestUnreachableIsUnsent(t *testing.T) {
 	serve(t, false, func(ctx context.Context, p *Pool) {
 		_, err := p.Get(ctx, netip.MustParseAddrPort("10.1.0.9:80"))
@@ -161,28 +163,28 @@
 	})
 }
 
-// Guards against bytes of a long body that reach the next request on its
-// connection, when the upstream answered before it had read the body.
-func TestEarlyAnswer(t *testing.T) {
+// Guards against a large request body whose rest is taken for the next request on
+// the same connection, when the upstream responds before it has read the body.
+func TestEarlyResponse(t *testing.T) {
 	serve(t, true, func(ctx context.Context, p *Pool) {
-		body, _, err := ask(ctx, p, strings.Repeat("x", 4*inlineBody))
+		body, _, err := roundTrip(ctx, p, strings.Repeat("x", 4*maxInlineBody))
 		assert.NilError(t, err)
 		assert.Equal(t, body, "ok")
-		// The rest of the body is still on its way; it must not hold the next
-		// request, nor be taken for it.
-		body, _, err = ask(ctx, p, "x")
+		// The rest of the body is still being sent. It must neither delay the next
+		// request nor be taken for it.
+		body, _, err = roundTrip(ctx, p, "x")
 		assert.NilError(t, err)
 		assert.Equal(t, body, "ok")
-	}, answered, answered)
+	}, okResponse, okResponse)
 }
 
-// Guards against requests that outlive their caller.
+// Guards against exchanges that continue after their context has ended.
 func TestContextEndsExchange(t *testing.T) {
 	serve(t, false, func(ctx context.Context, p *Pool) {
 		ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		started := time.Now()
-		_, _, err := ask(ctx, p, "x")
+		_, _, err := roundTrip(ctx, p, "x")
 		assert.Assert(t, err != nil)
 		assert.Equal(t, time.Since(started), 100*time.Millisecond)
 	}, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
--- a/internal/upstream/btconn/doc.go
+++ b/internal/upstream/btconn/doc.go
@@ -1,10 +1,10 @@
 // Package btconn keeps HTTP/1.1 connections to upstreams and sends single
 // requests over them.
 //
-// It knows for each request whether any byte of it left, which decides whether
-// a failed request may be called "not run". A connection returns to the pool
-// only after a complete response with nothing behind it, and a pooled one is
-// tested for the peer's close before it is used.
+// Errors show whether any byte of a request was sent, since only an unsent request
+// may be reported as not run. A connection returns to the pool only after a
+// complete response that no other bytes follow. Before a pooled connection is
+// used again, it is checked for a close by the peer.
 //
 // # Usage
 //
--- a/internal/upstream/btconn/pool.go
+++ b/internal/upstream/btconn/pool.go
@@ -14,36 +14,40 @@
 )
 
 const (
-	// dialTimeout bounds a connection attempt. A lost packet is repeated after
-	// a second, so a longer wait seldom helps a request that can go elsewhere.
+	// dialTimeout bounds a connection attempt. TCP retransmits a lost first packet
+	// after one second; a request that can go to another upstream should not wait
+	// for that.
 	dialTimeout = 400 * time.Millisecond
-	// unsentLimit closes connections whose bytes are not acknowledged. A pause
-	// this long is past every target of the streams.
-	unsentLimit = 1500 * time.Millisecond
-	// defaultIdle is how long a connection is kept if the upstream says nothing.
-	defaultIdle = 4 * time.Second
-	// idleMargin keeps a request from crossing the upstream's close.
+	// userTimeout closes a connection whose sent bytes stay unacknowledged. A pause
+	// this long exceeds every latency target of streams.
+	userTimeout = 1500 * time.Millisecond
+	// defaultKeepAlive is the idle timeout of upstreams that announce none.
+	defaultKeepAlive = 4 * time.Second
+	// idleMargin is subtracted from the idle timeout, so that no request is sent
+	// while the upstream closes the connection.
 	idleMargin = 400 * time.Millisecond
-	// maxIdle bounds the pooled connections to one upstream.
-	maxIdle = 6
+	// maxIdlePerAddr limits the idle connections to one address.
+	maxIdlePerAddr = 6
 )
 
-// Pool keeps idle connections by address. The zero value is ready to use.
+// Pool keeps idle connections by address. The zero value is ready to use. It is safe
+// for concurrent use.
 type Pool struct {
-	// Dial opens connections. Nil dials TCP.
+	// Dial opens connections. If nil, the pool dials TCP with userTimeout.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*Conn
-	// Opened counts the connections that were opened.
+	// Opened counts the attempts to open a connection.
 	Opened atomic.Uint64
 }
 
-// Get returns a connection to addr. Every error wraps ErrUnsent.
+// Get returns a pooled connection to addr if one is usable, and opens one otherwise.
+// Every error wraps ErrUnsent.
 func (p *Pool) Get(ctx context.Context, addr netip.AddrPort) (*Conn, error) {
 	now := time.Now()
-	for c := p.take(addr); c != nil; c = p.take(addr) {
-		if now.Before(c.idleUntil) && c.quiet() {
+	for c := p.takeIdle(addr); c != nil; c = p.takeIdle(addr) {
+		if now.Before(c.idleUntil) && c.usable() {
 			return c, nil
 		}
 		c.conn.Close()
@@ -55,7 +59,7 @@
 func (p *Pool) Open(ctx context.Context, addr netip.AddrPort) (*Conn, error) {
 	dial := p.Dial
 	if dial == nil {
-		d := &net.Dialer{Control: UserTimeoutControl(unsentLimit), KeepAlive: time.Second}
+		d := &net.Dialer{Control: UserTimeoutControl(userTimeout), KeepAlive: time.Second}
 		dial = d.DialContext
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -65,39 +69,40 @@
 	if err != nil {
 		return nil, errors.Wrapf(ErrUnsent, "dial %s: %v", addr, err)
 	}
-	return &Conn{pool: p, addr: addr, conn: nc, r: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &Conn{pool: p, addr: addr, conn: nc, r: bufio.NewReaderSize(nc, readBufferBytes)}, nil
 }
 
-// Check opens a connection to addr and keeps it. An error says that addr takes
-// no connections.
+// Check opens a connection to addr and puts it into the pool. An error means that
+// addr accepts no connections.
 func (p *Pool) Check(ctx context.Context, addr netip.AddrPort) error {
 	c, err := p.Open(ctx, addr)
 	if err != nil {
 		return err
 	}
-	c.keep(nil)
+	c.release(nil)
 	return nil
 }
 
-func (p *Pool) take(addr netip.AddrPort) *Conn {
+// takeIdle removes an idle connection to addr from the pool, or returns nil.
+func (p *Pool) takeIdle(addr netip.AddrPort) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[addr]
-	if len(list) == 0 {
+	conns := p.idle[addr]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[addr] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[addr] = conns[:len(conns)-1]
 	return c
 }
 
 // Drop closes the idle connections to addr.
 func (p *Pool) Drop(addr netip.AddrPort) {
 	p.mu.Lock()
-	list := p.idle[addr]
+	conns := p.idle[addr]
 	delete(p.idle, addr)
 	p.mu.Unlock()
-	for _, c := range list {
+	for _, c := range conns {
 		c.conn.Close()
 	}
 }
@@ -108,19 +113,21 @@
 	all := p.idle
 	p.idle = nil
 	p.mu.Unlock()
-	for _, list := range all {
-		for _, c := range list {
+	for _, conns := range all {
+		for _, c := range conns {
 			c.conn.Close()
 		}
 	}
 }
 
-func (c *Conn) keep(header http.Header) {
+// release puts the connection into the pool, or closes it if the idle timeout in
+// header is too short or the pool is full.
+func (c *Conn) release(header http.Header) {
 	idle := keepAlive(header) - idleMargin
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if idle <= 0 || len(p.idle[c.addr]) >= maxIdle {
+	if idle <= 0 || len(p.idle[c.addr]) >= maxIdlePerAddr {
 		c.conn.Close()
 		return
 	}
