--- a/internal/node/btnode/doc.go
+++ b/internal/node/btnode/doc.go
@@ -1,9 +1,9 @@
-// Package btnode puts together one daemon of a fleet on a platform without
-// hosts for control: the callers' entry, the directory, the replica of the
-// store and the exchange with other daemons.
+// Package btnode assembles one daemon of a fleet on a platform without separate
+// control hosts: the entry for callers, the directory, the replica of the store and
+// the gossip with other daemons.
 //
-// A daemon serves as soon as it holds a configuration, from the store or from a
-// peer. It keeps nothing beyond its process.
+// A daemon serves as soon as it has a configuration, from the store or from a peer.
+// It keeps no state on disk.
 //
 // # Usage
 //
--- a/internal/node/btnode/node.go
+++ b/internal/node/btnode/node.go
@@ -32,78 +32,82 @@
 )
 
 const (
-	// logLines is the number of log lines that wait for a slow reader. Later
-	// ones are dropped and counted.
-	logLines = 2048
-	// memoryShare is the share of the process's memory that the collector aims
-	// to stay under.
-	memoryShare = 0.6
-	// gcPercent trades processor time for memory, which is the dearer here.
+	// logBufferLines is the number of log lines that are buffered for a slow reader.
+	// Further lines are dropped and counted.
+	logBufferLines = 2048
+	// softMemoryShare is the share of Settings.MemoryBytes that is the garbage
+	// collector's soft limit.
+	softMemoryShare = 0.6
+	// gcPercent is below Go's default of 100 because memory is scarcer than
+	// processor time here.
 	gcPercent = 60
-	// headerTimeout and idleTimeout bound slow and idle callers. They lie above
-	// the limits of every configuration so far, which callers rely on.
+	// headerTimeout and idleTimeout limit slow and idle callers. They exceed the
+	// limits in all known configurations, since callers rely on those.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// budgetShare keeps the repeats of all daemons together under the bound
-	// while their views of each other differ.
-	budgetShare = 0.7
-	// housekeeping is the period of the checks that no event starts.
-	housekeeping = 250 * time.Millisecond
-	// joinUpstreams joins the registrations that change together, such as those
-	// of upstreams that leave on one notice.
-	joinUpstreams = 60 * time.Millisecond
-	// leaveFor is how long a daemon serves callers after it left the directory.
-	// Callers may keep an answer three times as long as it is valid.
-	leaveFor = 4 * time.Second
-	// killMargin is left before the platform kills the process.
+	// retryBudgetShare is the share of the retry bounds that the daemons together
+	// use. The rest is a margin for times when their views of each other differ.
+	retryBudgetShare = 0.7
+	// housekeepingPeriod is the period of the checks that no event triggers.
+	housekeepingPeriod = 250 * time.Millisecond
+	// upstreamsPollPause is the time between two polls of the upstream
+	// registrations. Changes that occur together, such as those of upstreams that
+	// leave on one notice, then arrive in one response.
+	upstreamsPollPause = 60 * time.Millisecond
+	// minDrain is the least time for which a daemon serves callers after it left the
+	// directory. Callers may use a directory response for three times its validity.
+	minDrain = 4 * time.Second
+	// killMargin is the least time between the end of draining and the kill by the
+	// platform.
 	killMargin = 400 * time.Millisecond
 )
 
-// Adapter is the platform as the daemon sees it.
+// Adapter holds the implementations that depend on the platform. New needs Engines,
+// and Run needs all fields.
 type Adapter struct {
 	Feed     bramleytack.Feed
 	Registry bramleytack.Registry
 	Codec    bramleytack.CatalogCodec
 	Dialect  bramleytack.FleetDialect
-	// Engines returns the calls of engines over a pool.
+	// Engines returns a client for engine control that uses pool.
 	Engines func(pool *btconn.Pool) Engines
-	// EncodeAddrs writes a directory answer.
+	// EncodeAddrs encodes a directory response.
 	EncodeAddrs btdirectory.Encoder
-	// Calls returns the number of calls to the store.
+	// Calls returns the number of calls to the store since the start.
 	Calls func() uint64
 }
 
-// Engines are the calls of model engines that are no requests of callers.
+// Engines is a client for calls to model engines other than callers' requests.
 type Engines interface {
 	bramleytack.EngineMover
 	bramleytack.EngineReporter
 }
 
-// Node is one daemon.
+// Node is one daemon. New creates it, and Run may be called once.
 type Node struct {
-	settings Settings
-	adapter  Adapter
-	timer    *bttimer.Service
-	log      *btevent.Logger
-	logs     diode.Writer
-	dropped  atomic.Int64
-	table    *btreplica.Table
-	contact  btreplica.StoreStatus
-	accounts *btaccount.Table
-	gossip   *btgossip.Node
-	pool     *btconn.Pool
-	engines  Engines
-	handler  *btentry.Handler
-	dump     btdump.Registry
-	registry *prometheus.Registry
-	leaving  atomic.Bool
-	resync   btreplica.Resync
+	settings    Settings
+	adapter     Adapter
+	timer       *bttimer.Service
+	log         *btevent.Logger
+	logs        diode.Writer
+	dropped     atomic.Int64
+	table       *btreplica.Table
+	storeStatus btreplica.StoreStatus
+	accounts    *btaccount.Table
+	gossip      *btgossip.Node
+	pool        *btconn.Pool
+	engines     Engines
+	handler     *btentry.Handler
+	dump        btdump.Registry
+	registry    *prometheus.Registry
+	leaving     atomic.Bool
+	resync      btreplica.Resync
 }
 
-// New returns a daemon. It opens no connection.
+// New returns a daemon that writes its log to logs. It opens no connection.
 func New(s Settings, a Adapter, logs io.Writer) *Node {
 	n := &Node{settings: s, adapter: a, timer: bttimer.New(uint64(time.Now().UnixNano()))}
-	n.logs = diode.NewWriter(logs, logLines, 0, func(missed int) { n.dropped.Add(int64(missed)) })
+	n.logs = diode.NewWriter(logs, logBufferLines, 0, func(dropped int) { n.dropped.Add(int64(dropped)) })
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	n.log = btevent.New(n.logs, zerolog.InfoLevel, s.Host)
 	n.table = btreplica.NewTable(a.Codec, n.timer, n.log)
@@ -116,10 +120,10 @@
 			Host: s.Host, Addr: s.Addr, FailureDomain: s.FailureDomain,
 			Port: s.Peer.Port(), Incarnation: uint64(time.Now().UnixMilli()),
 		},
-		Table: n.table, Accounts: n.accounts, StoreStatus: &n.contact, Timer: n.timer, Log: n.log,
+		Table: n.table, Accounts: n.accounts, StoreStatus: &n.storeStatus, Timer: n.timer, Log: n.log,
 		Ready: n.Ready, Leaving: n.leaving.Load, Seeds: addrsOf(s.Seeds),
 	})
-	n.contact.OnDown = n.gossip.Announce
+	n.storeStatus.OnDown = n.gossip.Announce
 	n.accounts.Daemons = n.gossip.Count
 	n.accounts.Changed = n.gossip.LoadChanged
 	n.handler = &btentry.Handler{
@@ -127,13 +131,13 @@
 		Timer: n.timer, Log: n.log, Metrics: btentry.NewMetrics(n.registry), Leaving: n.leaving.Load,
 		Lengths: btforecast.New(n.timer),
 		Budget: &btretry.Budget{
-			Timer: n.timer, Ratio: budgetShare * s.Bounds.RetryRatio,
-			Minimum:   budgetShare * s.Bounds.RetrySlack / max(s.Bounds.RetryWindow.Seconds(), 1),
-			Burst:     budgetShare * s.Bounds.RetrySlack,
+			Timer: n.timer, Ratio: retryBudgetShare * s.Bounds.RetryRatio,
+			Minimum:   retryBudgetShare * s.Bounds.RetrySlack / max(s.Bounds.RetryWindow.Seconds(), 1),
+			Burst:     retryBudgetShare * s.Bounds.RetrySlack,
 			Processes: n.gossip.Count,
 		},
 	}
-	n.observe()
+	n.registerMetrics()
 	return n
 }
 
@@ -145,8 +149,8 @@
 	return out
 }
 
-// observe registers metrics and the parts of the state dump.
-func (n *Node) observe() {
+// registerMetrics registers the metrics and the parts of the state dump.
+func (n *Node) registerMetrics() {
 	n.registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
@@ -161,46 +165,49 @@
 	n.dump.Add("snapshot", func() any { return n.table.Snapshot() })
 }
 
-// Ready says whether callers should connect to this daemon.
+// Ready reports whether callers should connect to this daemon: it has a
+// configuration, knows at least one upstream and is not leaving.
 func (n *Node) Ready() bool {
 	s := n.table.Snapshot()
 	return s != nil && len(s.Upstreams) > 0 && !n.leaving.Load()
 }
 
-// Run serves until the context ends, and then until callers have left.
+// Run serves until the context ends, then drains. It returns an error only if the
+// start fails.
 func (n *Node) Run(ctx context.Context) error {
 	debug.SetGCPercent(gcPercent)
 	if n.settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(n.settings.MemoryBytes)))
+		debug.SetMemoryLimit(int64(softMemoryShare * float64(n.settings.MemoryBytes)))
 	}
 	defer n.logs.Close()
 	n.log.Event(btevent.ProcessStarted).Str("domain", string(n.settings.FailureDomain)).
 		Stringer("entry", n.settings.Entry).Uint64("incarnation", n.gossip.Self.Incarnation).Send()
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// Draining continues after ctx has ended.
+	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	if err := n.start(inner); err != nil {
+	if err := n.start(serving); err != nil {
 		n.log.Event(btevent.ProcessFailed).Err(err).Send()
 		return err
 	}
-	go n.loop(inner)
+	go n.housekeep(serving)
 	<-ctx.Done()
 	n.drain()
 	n.log.Event(btevent.ProcessStopped).Int("active", n.handler.Active()).Int64("logLinesDropped", n.dropped.Load()).Send()
 	return nil
 }
 
-// start opens all listeners and starts the daemon's parts.
+// start opens all listeners and starts the background tasks.
 func (n *Node) start(ctx context.Context) error {
 	packets, err := net.ListenPacket("udp4", n.settings.Peer.String())
 	if err != nil {
-		return errors.Wrap(err, "btnode: peer address")
+		return errors.Wrap(err, "btnode: listen on peer address")
 	}
 	pulls, err := net.Listen("tcp4", n.settings.Peer.String())
 	if err != nil {
-		return errors.Wrap(err, "btnode: peer address")
+		return errors.Wrap(err, "btnode: listen on peer address")
 	}
 	n.gossip.Start(ctx, packets, pulls)
-	n.follow(ctx)
+	n.startStoreTasks(ctx)
 	mux := n.infoMux()
 	for _, s := range []struct {
 		addr    netip.AddrPort
@@ -219,7 +226,7 @@
 	return nil
 }
 
-// listener serves one address.
+// listener serves HTTP on one address.
 type listener struct {
 	node   *Node
 	server *http.Server
@@ -252,25 +259,26 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// follow starts the watchers of the store.
-func (n *Node) follow(ctx context.Context) {
+// startStoreTasks starts the watchers of the store, the registration of this daemon
+// and the polls of engines during store outages.
+func (n *Node) startStoreTasks(ctx context.Context) {
 	for _, kind := range bramleytack.ReplicatedKinds {
 		w := &btreplica.Watcher{
 			Feed: n.adapter.Feed, Table: n.table, Timer: n.timer, Log: n.log, Kind: kind,
-			Active: n.gossip.Follows, StoreDownCount: n.gossip.StoreDownCount, StoreStatus: &n.contact, Resync: &n.resync,
+			Active: n.gossip.Follows, StoreDownCount: n.gossip.StoreDownCount, StoreStatus: &n.storeStatus, Resync: &n.resync,
 		}
 		if kind == bramleytack.KindUpstreams {
-			w.Pause = joinUpstreams
+			w.Pause = upstreamsPollPause
 		}
 		go w.Run(ctx)
 	}
 	go (&registration{node: n}).run(ctx)
-	go (&notices{node: n}).run(ctx)
+	go (&endPoller{node: n}).run(ctx)
 }
 
-// loop does what no event starts.
-func (n *Node) loop(ctx context.Context) {
-	tick := n.timer.Every(housekeeping, 0)
+// housekeep runs the checks that no event triggers until the context ends.
+func (n *Node) housekeep(ctx context.Context) {
+	tick := n.timer.Every(housekeepingPeriod, 0)
 	defer tick.Stop()
 	clock := newSuspendClock()
 	for {
@@ -279,9 +287,9 @@
 		case <-ctx.Done():
 			return
 		}
-		if away := clock.suspended(); away > 0 {
-			n.log.Event(btevent.ProcessSuspended).Dur("away", away).Send()
-			n.wake()
+		if d := clock.suspended(); d > 0 {
+			n.log.Event(btevent.ProcessSuspended).Dur("away", d).Send()
+			n.dropStaleState()
 		}
 		n.table.Expire()
 		if s := n.table.Snapshot(); s != nil {
@@ -298,14 +306,16 @@
 	return alive
 }
 
-// wake drops what was believed before a suspension.
-func (n *Node) wake() {
+// dropStaleState discards what may be outdated after a suspension: pooled
+// connections, the liveness of other daemons and pending polls of the store.
+func (n *Node) dropStaleState() {
 	n.pool.DropAll()
 	n.gossip.ResetLiveness()
 	n.resync.All(nil)
 }
 
-// drain serves on until callers have learned of the leaving.
+// drain leaves the directory and keeps serving until callers have had minDrain to
+// notice and no request is active, at most until killMargin before the kill.
 func (n *Node) drain() {
 	n.leaving.Store(true)
 	n.gossip.TriggerDigest()
@@ -313,11 +323,11 @@
 	started := n.timer.Now()
 	limit := max(n.settings.Bounds.Grace-killMargin, 0)
 	for {
-		spent := n.timer.Now().Sub(started)
-		if spent >= limit || spent >= leaveFor && n.handler.Active() == 0 {
+		elapsed := n.timer.Now().Sub(started)
+		if elapsed >= limit || elapsed >= minDrain && n.handler.Active() == 0 {
 			return
 		}
-		if n.timer.Sleep(context.Background(), min(housekeeping, limit-spent)) != nil {
+		if n.timer.Sleep(context.Background(), min(housekeepingPeriod, limit-elapsed)) != nil {
 			return
 		}
 	}
--- a/internal/node/btnode/node_test.go
+++ b/internal/node/btnode/node_test.go
@@ -14,7 +14,7 @@
 	"bramleytack/internal/upstream/btconn"
 )
 
-// noEngines answers no call.
+// noEngines fails all calls.
 type noEngines struct{}
 
 func (noEngines) Move(context.Context, netip.AddrPort, netip.AddrPort, string, bool) (bramleytack.EngineCopy, error) {
@@ -25,62 +25,61 @@
 	return bramleytack.EngineReport{}, bramleytack.ErrNotFound
 }
 
-// stuck is a log pipe that nobody reads.
-type stuck struct {
+// blockedPipe is a log pipe without a reader until unblock is called.
+type blockedPipe struct {
 	once sync.Once
 	free chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedPipe) Write(p []byte) (int, error) {
 	<-s.free
 	return len(p), nil
 }
 
-func (s *stuck) open() { s.once.Do(func() { close(s.free) }) }
+func (s *blockedPipe) unblock() { s.once.Do(func() { close(s.free) }) }
 
-// Guards against a full log pipe that holds requests up, and against lines that
-// vanish without a trace.
+// Guards against a full log pipe that blocks requests, and against lines that are
+// dropped without being counted.
 func TestFullLogPipeBlocksNothing(t *testing.T) {
-	pipe := &stuck{free: make(chan struct{})}
+	pipe := &blockedPipe{free: make(chan struct{})}
 	n := New(Settings{Host: "h"}, Adapter{Engines: func(*btconn.Pool) Engines { return noEngines{} }}, pipe)
 	defer n.timer.Close()
 	done := make(chan struct{})
-	go (&writer{n, done}).run()
+	go (&logWriter{n, done}).run()
 	<-done
-	pipe.open()
+	pipe.unblock()
 	n.logs.Close()
 	assert.Assert(t, n.dropped.Load() > 0, "no line was counted as dropped")
 }
 
-// writer writes more lines than the log holds.
-type writer struct {
+// logWriter writes more lines than the log buffers.
+type logWriter struct {
 	n    *Node
 	done chan struct{}
 }
 
-func (w *writer) run() {
-	for range 3 * logLines {
+func (w *logWriter) run() {
+	for range 3 * logBufferLines {
 		w.n.log.Event(btevent.RequestAnswered).Send()
 	}
 	close(w.done)
 }
 
-// Guards against beliefs that survive a suspension unnoticed, and against busy
-// processes that are taken for suspended ones.
+// Guards against a suspension that is not detected, and against a busy process that
+// is taken for a suspended one.
 func TestSuspendClock(t *testing.T) {
 	c := newSuspendClock()
 	assert.Equal(t, c.suspended(), time.Duration(0))
-	c.boot -= 3 * time.Second
-	assert.Assert(t, c.suspended() >= 3*time.Second-suspendSlack)
-	c.boot -= 3 * time.Second
-	c.steady -= 3 * time.Second
+	c.boottime -= 3 * time.Second
+	assert.Assert(t, c.suspended() >= 3*time.Second-minSuspension)
+	c.boottime -= 3 * time.Second
+	c.monotonic -= 3 * time.Second
 	assert.Equal(t, c.suspended(), time.Duration(0))
 }
 
-// Guards against callers that are sent to a daemon without a configuration, or
-// to one that leaves.
+// Guards against callers that are sent to a daemon without a configuration.
 func TestReady(t *testing.T) {
-	n := New(Settings{Host: "h"}, Adapter{Engines: func(*btconn.Pool) Engines { return noEngines{} }}, &stuck{free: make(chan struct{})})
+	n := New(Settings{Host: "h"}, Adapter{Engines: func(*btconn.Pool) Engines { return noEngines{} }}, &blockedPipe{free: make(chan struct{})})
 	defer n.timer.Close()
 	assert.Assert(t, !n.Ready())
 }
--- a/internal/node/btnode/registration.go
+++ b/internal/node/btnode/registration.go
@@ -11,29 +11,31 @@
 	"bramleytack/internal/fleet/btgossip"
 )
 
-// daemonRecord is this product's own object in the store.
+// daemonRecord is the object in the store by which daemons find each other. Its
+// format is this product's own, not the platform's.
 type daemonRecord struct {
 	Addr netip.Addr `json:"addr"`
 }
 
-// registration keeps this daemon's address in the store, for daemons whose
-// seeds are all down or start later than they do.
+// registration writes this daemon's address to the store if it is one of the few
+// that should be listed there or knows no other daemon. Daemons whose seeds are all
+// down, or start later than they do, find their peers by these addresses.
 type registration struct{ node *Node }
 
-// registerPause is the time between two looks whether to register. It lets
-// daemons find each other by seeds first.
-const registerPause = 1500 * time.Millisecond
+// registerInterval is the time between two checks whether to register. The first
+// check waits as long, so that daemons can find each other by seeds before.
+const registerInterval = 1500 * time.Millisecond
 
 func (r *registration) run(ctx context.Context) {
 	n := r.node
-	if _, done, err := r.meet(ctx); err != nil {
+	if _, current, err := r.joinRegistered(ctx); err != nil {
 		n.log.Event(btevent.StoreDown).Str("call", "daemons").Err(err).Send()
-	} else if done {
+	} else if current {
 		n.log.Event(btevent.DaemonRegistered).Bool("before", true).Send()
 		return
 	}
-	for n.timer.Sleep(ctx, registerPause) == nil {
-		if n.contact.Down() || !n.gossip.ShouldRegister() && len(n.gossip.Alive()) > 0 {
+	for n.timer.Sleep(ctx, registerInterval) == nil {
+		if n.storeStatus.Down() || !n.gossip.ShouldRegister() && len(n.gossip.Alive()) > 0 {
 			continue
 		}
 		if err := r.register(ctx); err != nil {
@@ -45,34 +47,35 @@
 	}
 }
 
-// meet reads which daemons have registered, lets the exchange know of them, and
-// returns the version of this daemon's own record and whether it is right.
-func (r *registration) meet(ctx context.Context) (own bramleytack.Revision, done bool, err error) {
+// joinRegistered passes the registered daemons to the gossip. It returns the version
+// of this daemon's own record, zero without one, and whether its address is current.
+func (r *registration) joinRegistered(ctx context.Context) (own bramleytack.Revision, current bool, err error) {
 	n := r.node
 	objects, _, err := n.adapter.Feed.List(ctx, bramleytack.KindDaemons)
 	if err != nil {
 		return 0, false, err
 	}
-	var known []btgossip.RegisteredDaemon
+	var registered []btgossip.RegisteredDaemon
 	for _, o := range objects {
 		var d daemonRecord
 		if err := json.Unmarshal(o.Data, &d); err != nil {
 			n.log.Event(btevent.ConfigUndecoded).Str("daemon", o.Name).Err(err).Send()
 			continue
 		}
-		known = append(known, btgossip.RegisteredDaemon{Host: bramleytack.HostID(o.Name), Addr: d.Addr})
+		registered = append(registered, btgossip.RegisteredDaemon{Host: bramleytack.HostID(o.Name), Addr: d.Addr})
 		if o.Name == string(n.settings.Host) {
-			own, done = o.Version, d.Addr == n.settings.Addr
+			own, current = o.Version, d.Addr == n.settings.Addr
 		}
 	}
-	n.gossip.Join(known)
-	return own, done, nil
+	n.gossip.Join(registered)
+	return own, current, nil
 }
 
+// register writes this daemon's record unless it is current.
 func (r *registration) register(ctx context.Context) error {
 	n := r.node
-	own, done, err := r.meet(ctx)
-	if err != nil || done {
+	own, current, err := r.joinRegistered(ctx)
+	if err != nil || current {
 		return err
 	}
 	data, err := json.Marshal(daemonRecord{Addr: n.settings.Addr})
--- a/internal/node/btnode/reload.go
+++ b/internal/node/btnode/reload.go
@@ -2,8 +2,9 @@
 
 import "bramleytack/btevent"
 
-// Reload takes settings that were read again. Addresses stay as they are until
-// the next start; invalid settings change nothing.
+// Reload logs that the settings were read again with the result s or err, and whether
+// a restart is needed for changed addresses. It applies nothing: all settings stay as
+// they are until the next start.
 func (n *Node) Reload(s Settings, err error) {
 	line := n.log.Event(btevent.SettingsReloaded)
 	if err != nil {
--- a/internal/node/btnode/settings.go
+++ b/internal/node/btnode/settings.go
@@ -7,39 +7,42 @@
 	"bramleytack"
 )
 
-// Settings are what a daemon is told at its start.
+// Settings configure one daemon. They do not change while it runs.
 type Settings struct {
 	Host          bramleytack.HostID
 	Addr          netip.Addr
 	FailureDomain bramleytack.FailureDomainID
 	Region        bramleytack.RegionID
-	// Entry serves callers, Ready the platform's readiness checks, Directory
-	// callers that ask for entry addresses. Control is served by a stub.
+	// Entry serves callers. Ready is for the platform's readiness checks, and
+	// Directory for callers that ask for entry addresses. Ready, Directory, Control
+	// and Metrics all serve readiness, the directory, metrics and the state dump. A
+	// zero address is not served.
 	Entry     netip.AddrPort
 	Ready     netip.AddrPort
 	Directory netip.AddrPort
 	Control   netip.AddrPort
-	// Peer is the address for other daemons, Metrics the one for metrics and
-	// the state dump.
+	// Peer is the address for other daemons, over UDP and TCP. It is required.
 	Peer    netip.AddrPort
 	Metrics netip.AddrPort
-	// Seeds are peer addresses of daemons that may be down.
+	// Seeds are addresses of other daemons, some of which may be down.
 	Seeds []netip.AddrPort
 	Store netip.AddrPort
-	// MemoryBytes bounds the process.
+	// MemoryBytes is the memory limit of the process. Zero means none.
 	MemoryBytes int64
 	Bounds      Bounds
 }
 
-// Bounds are the operators' bounds on the system's behavior.
+// Bounds are the operator's limits on the behavior of all daemons.
 type Bounds struct {
-	// Grace is the time from a termination signal to the kill.
+	// Grace is the time from a termination signal to the kill by the platform.
 	Grace time.Duration
-	// RetryRatio, RetrySlack and RetryWindow bound the repeats that all daemons
-	// together send to a service.
+	// RetryRatio, RetrySlack and RetryWindow bound the retries that all daemons
+	// together send to a service to RetryRatio per request plus RetrySlack per
+	// RetryWindow.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// DirectoryValidity is the longest validity of a directory answer.
+	// DirectoryValidity is the longest validity of a directory response. Zero means
+	// no limit.
 	DirectoryValidity time.Duration
 }
--- a/internal/node/btnode/suspend.go
+++ b/internal/node/btnode/suspend.go
@@ -6,37 +6,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspendSlack is the difference of the clocks that counts as a suspension. It
-// lies above what scheduling delays between two readings explain.
-const suspendSlack = 300 * time.Millisecond
+// minSuspension is the least difference of the clocks that counts as a suspension.
+// Scheduling delays between the readings of the two clocks cause smaller ones.
+const minSuspension = 300 * time.Millisecond
 
-// suspendClock compares the clock that counts suspensions with the one that
-// does not.
+// suspendClock detects suspensions of the machine: CLOCK_BOOTTIME advances during a
+// suspension, CLOCK_MONOTONIC does not.
 type suspendClock struct {
-	boot   time.Duration
-	steady time.Duration
+	boottime  time.Duration
+	monotonic time.Duration
 }
 
 func newSuspendClock() *suspendClock {
-	return &suspendClock{boot: readClock(unix.CLOCK_BOOTTIME), steady: readClock(unix.CLOCK_MONOTONIC)}
+	return &suspendClock{boottime: readClock(unix.CLOCK_BOOTTIME), monotonic: readClock(unix.CLOCK_MONOTONIC)}
 }
 
-// suspended returns how long the process was suspended since the last call,
-// zero if it was not.
+// suspended returns how long the machine was suspended since the last call, or zero
+// if that was less than minSuspension.
 func (c *suspendClock) suspended() time.Duration {
 	now := newSuspendClock()
-	away := (now.boot - c.boot) - (now.steady - c.steady)
+	d := (now.boottime - c.boottime) - (now.monotonic - c.monotonic)
 	*c = *now
-	if away < suspendSlack {
+	if d < minSuspension {
 		return 0
 	}
-	return away
+	return d
 }
 
+// readClock returns the reading of a clock.
 func readClock(id int32) time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(id, &ts); err != nil {
-		// A clock that cannot be read shows no suspension.
+		// Without a reading no suspension is detected.
 		return 0
 	}
 	return time.Duration(ts.Nano())
