--- a/internal/node/btnode/endpoll.go
+++ b/internal/node/btnode/endpoll.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// endPollPeriod is the time between two reports that an engine is asked for.
-	// Engines leave two seconds after their termination notice.
+	// endPollPeriod is the time between two queries to an engine. Engines leave two
+	// seconds after their termination notice.
 	endPollPeriod = 400 * time.Millisecond
 	// endPollAfterOutage is how long engines are still asked after a store outage:
 	// their own writes to the store may take seconds to succeed again.
@@ -28,6 +28,7 @@
 	storeUnreadAt time.Time
 }
 
+// run polls each endPollPeriod until the context ends, if a poll is due.
 func (p *endPoller) run(ctx context.Context) {
 	tick := p.node.timer.Every(endPollPeriod, endPollPeriod/10)
 	defer tick.Stop()
--- a/internal/route/btaccount/account.go
+++ b/internal/route/btaccount/account.go
@@ -150,9 +150,10 @@
 	// failureAverage is a moving average of outcomes: 0 if served, 1 if failed.
 	failureAverage float64
 	samples        int
-	ejections      int
-	ejectedUntil   time.Time
-	avoidUntil     time.Time
+	// ejections counts the ejections since the upstream last recovered.
+	ejections    int
+	ejectedUntil time.Time
+	avoidUntil   time.Time
 	// refusals counts consecutive failed connection attempts.
 	refusals int
 	// cold limits the rate of requests while the upstream is cold.
--- a/internal/route/btaccount/table_test.go
+++ b/internal/route/btaccount/table_test.go
@@ -17,8 +17,8 @@
 
 const service = "engines"
 
-// guide is the need of a long generation of typical size.
-var guide = Need{Prompt: 3000, Output: 900, MaxOutput: 2000}
+// longGeneration is the need of a long generation of typical size.
+var longGeneration = Need{Prompt: 3000, Output: 900, MaxOutput: 2000}
 
 // fleet returns a snapshot of n engines over three failure domains.
 func fleet(n int) *bramleytack.Snapshot {
@@ -41,8 +41,9 @@
 	return s
 }
 
-// inTime runs a test in fake time.
-func inTime(t *testing.T, f func(t *testing.T, timer *bttimer.Service)) {
+// withFakeTime runs a test in a synctest bubble, whose clock only advances when all
+// goroutines wait.
+func withFakeTime(t *testing.T, f func(t *testing.T, timer *bttimer.Service)) {
 	synctest.Test(t, func(t *testing.T) {
 		timer := bttimer.New(1)
 		defer timer.Close()
@@ -65,12 +66,12 @@
 // receive each other's loads, and all choose the engine with the lowest delay
 // (grown Foldwell site, quiet-1: four prompts at one engine within 20 ms).
 func TestBurstSpreadsOverEngines(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(45)
 		for round := range 50 {
 			count := map[bramleytack.UpstreamID]int{}
 			for range 10 {
-				count[pick(t, newTable(timer), s, guide).ID]++
+				count[pick(t, newTable(timer), s, longGeneration).ID]++
 			}
 			most := 0
 			for _, n := range count {
@@ -84,14 +85,14 @@
 // Guards against uneven memory, and against prompts that queue while other engines
 // are idle, under steady load at two daemons that receive each other's loads.
 func TestLoadIsEven(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(12)
 		a, b := newTable(timer), newTable(timer)
 		count := map[bramleytack.UpstreamID]int{}
 		for range 24 {
-			count[pick(t, a, s, guide).ID]++
+			count[pick(t, a, s, longGeneration).ID]++
 			b.SetPeer("a", a.OwnLoads())
-			count[pick(t, b, s, guide).ID]++
+			count[pick(t, b, s, longGeneration).ID]++
 			a.SetPeer("b", b.OwnLoads())
 		}
 		for _, u := range s.ByService[service] {
@@ -103,23 +104,23 @@
 // Guards against backup copies that displace running generations when these need
 // most of the engines' memory (grown Foldwell site, quiet-1: 60 preemptions).
 func TestCopiesNeedSpareMemory(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(12)
 		table := newTable(timer)
-		primary := pick(t, table, s, guide)
-		assert.Assert(t, table.PickBackup(s, primary, guide) != nil, "no idle engine takes a copy")
+		primary := pick(t, table, s, longGeneration)
+		assert.Assert(t, table.PickBackup(s, primary, longGeneration) != nil, "no idle engine takes a copy")
 		for range 55 {
-			pick(t, table, s, guide)
+			pick(t, table, s, longGeneration)
 		}
-		assert.Assert(t, table.PickBackup(s, primary, guide) == nil, "a full engine takes a copy")
-		assert.Assert(t, table.PickTarget(s, primary, guide) != nil, "a running generation finds no engine")
+		assert.Assert(t, table.PickBackup(s, primary, longGeneration) == nil, "a full engine takes a copy")
+		assert.Assert(t, table.PickTarget(s, primary, longGeneration) != nil, "a running generation finds no engine")
 	})
 }
 
 // Guards against moves that all queue at the link of one target when an engine
 // leaves and many daemons move its generations at once.
 func TestMovesSpread(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(12)
 		primary := s.ByService[service][0]
 		count := map[bramleytack.UpstreamID]int{}
@@ -127,7 +128,7 @@
 		// Enough draws that random variation stays far from the limit of one half.
 		const moves = 600
 		for range moves {
-			u := newTable(timer).PickTarget(s, primary, guide)
+			u := newTable(timer).PickTarget(s, primary, longGeneration)
 			count[u.ID]++
 			if u.FailureDomain == primary.FailureDomain {
 				sameDomain++
@@ -144,7 +145,7 @@
 // nearly full (grown Foldwell site, scale-1: 25 moves to one engine within 0.4 s,
 // whose link takes six per second).
 func TestMovesSpreadOverFreeMemory(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(33)
 		primary := s.ByService[service][0]
 		loads := map[bramleytack.UpstreamID]Load{}
@@ -158,7 +159,7 @@
 		for range moves {
 			table := newTable(timer)
 			table.SetPeer("h2", loads)
-			u := table.PickTarget(s, primary, guide)
+			u := table.PickTarget(s, primary, longGeneration)
 			assert.Equal(t, u.FailureDomain, primary.FailureDomain)
 			count[u.ID]++
 		}
@@ -173,27 +174,27 @@
 // their forecast (grown Foldwell site: 477 tokens forecast, 825 generated on
 // average).
 func TestGrownGenerationCounts(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
 		table := newTable(timer)
-		grown := table.Begin("e00", guide)
-		table.Begin("e01", guide)
+		grown := table.Begin("e00", longGeneration)
+		table.Begin("e01", longGeneration)
 		grown.PrefillDone()
 		grown.Grow(100)
 		assert.Equal(t, table.OwnLoads()["e00"].Memory, table.OwnLoads()["e01"].Memory)
-		grown.Grow(4 * guide.Output)
-		assert.Equal(t, table.OwnLoads()["e00"].Memory, guide.Prompt+4*guide.Output+growthMargin)
+		grown.Grow(4 * longGeneration.Output)
+		assert.Equal(t, table.OwnLoads()["e00"].Memory, longGeneration.Prompt+4*longGeneration.Output+growthMargin)
 		_, _, full := table.PickWithMemoryLimit(s, s.ByService[service][:1], Need{Prompt: 22000, Output: 100}, 1)
 		assert.Assert(t, full)
 		grown.End(Served)
-		grown.Grow(8 * guide.Output)
+		grown.Grow(8 * longGeneration.Output)
 		assert.Equal(t, table.OwnLoads()["e00"].Memory, 0)
 	})
 }
 
 // Guards against many daemons that together exceed the cold limit of one engine.
 func TestColdLimitIsShared(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		const daemons = 8
 		s := fleet(1)
 		s.ByService[service][0].ColdUntil = time.Now().Add(10 * time.Second)
@@ -205,7 +206,7 @@
 		}
 		for range 100 {
 			for _, table := range tables {
-				if u, _ := table.Pick(s, table.Eligible(s, service, nil), guide); u != nil {
+				if u, _ := table.Pick(s, table.Eligible(s, service, nil), longGeneration); u != nil {
 					sent++
 				}
 			}
@@ -221,7 +222,7 @@
 // while its health check passes, and against a service without any eligible
 // upstream when all of them fail.
 func TestFailingUpstreamIsEjected(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(3)
 		table := newTable(timer)
 		end := func(id bramleytack.UpstreamID, o Outcome) { table.Begin(id, Need{}).End(o) }
@@ -246,7 +247,7 @@
 // Foldwell site, scale-1: 152 orders lost to one upstream in 6 s). The ejections of
 // a single daemon must not count, nor those of most of a service's upstreams.
 func TestEjectionIsShared(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(3)
 		changes := 0
 		var lines bytes.Buffer
@@ -286,7 +287,7 @@
 // Guards against failure averages that are compared with upstreams of other
 // services, such as a plain service whose calls always fail.
 func TestEjectionComparesWithinTheService(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(3)
 		for _, id := range []bramleytack.UpstreamID{"p1", "p2"} {
 			u := &bramleytack.Upstream{ID: id, Service: "shop", FailureDomain: "d0", WarmLimit: 6}
@@ -301,9 +302,9 @@
 			table.Begin("p2", Need{}).End(Failed)
 		}
 		for range 4 {
-			table.Begin("e00", guide).End(Failed)
-			table.Begin("e01", guide).End(Served)
-			table.Begin("e02", guide).End(Served)
+			table.Begin("e00", longGeneration).End(Failed)
+			table.Begin("e01", longGeneration).End(Served)
+			table.Begin("e02", longGeneration).End(Served)
 		}
 		assert.Equal(t, len(table.Eligible(s, service, nil)), 2)
 	})
@@ -312,7 +313,7 @@
 // Guards against repeated attempts at an upstream that has ended but stays
 // registered while the store is unavailable, and against moves to it.
 func TestUnreachablePauseGrows(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
 		table := newTable(timer)
 		attempts := 0
@@ -322,7 +323,7 @@
 			if u.ID == "e00" {
 				attempts++
 				l.End(Unreachable)
-				assert.Assert(t, table.PickTarget(s, s.Upstreams["e01"], guide) == nil, "a move goes to an ended engine")
+				assert.Assert(t, table.PickTarget(s, s.Upstreams["e01"], longGeneration) == nil, "a move goes to an ended engine")
 			} else {
 				l.End(Served)
 			}
@@ -338,7 +339,7 @@
 // Guards against an ejection in addition to the pause after refused connections,
 // which kept an upstream without work for 8 s after it was reachable again.
 func TestUnreachablePauseIsBounded(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
 		table := newTable(timer)
 		for range 300 {
@@ -358,10 +359,10 @@
 // Guards against loads that drift: an ended lease must remove exactly what it
 // added, also if a call is repeated.
 func TestLeasesBalance(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		table := newTable(timer)
-		a, b := table.Begin("e00", guide), table.Begin("e00", guide)
-		c := table.BeginCopy("e01", guide)
+		a, b := table.Begin("e00", longGeneration), table.Begin("e00", longGeneration)
+		c := table.BeginCopy("e01", longGeneration)
 		a.PrefillDone()
 		a.PrefillDone()
 		a.End(Served)
@@ -375,12 +376,12 @@
 
 // Guards against loads of a dead daemon that are never removed.
 func TestRetainRemovesDeadDaemons(t *testing.T) {
-	inTime(t, func(t *testing.T, timer *bttimer.Service) {
+	withFakeTime(t, func(t *testing.T, timer *bttimer.Service) {
 		s := fleet(2)
 		table := newTable(timer)
 		table.SetPeer("h2", map[bramleytack.UpstreamID]Load{"e00": {Running: 20, Unread: 30000}})
-		assert.Equal(t, pick(t, table, s, guide).ID, bramleytack.UpstreamID("e01"))
+		assert.Equal(t, pick(t, table, s, longGeneration).ID, bramleytack.UpstreamID("e01"))
 		table.Retain(s, map[bramleytack.HostID]bool{})
-		assert.Equal(t, pick(t, table, s, guide).ID, bramleytack.UpstreamID("e00"))
+		assert.Equal(t, pick(t, table, s, longGeneration).ID, bramleytack.UpstreamID("e00"))
 	})
 }
--- a/internal/upstream/btconn/conn.go
+++ b/internal/upstream/btconn/conn.go
@@ -24,7 +24,8 @@
 	// maxInlineBody is the largest request body in bytes that is written before the
 	// response is read. Larger ones are written concurrently.
 	maxInlineBody = 16 << 10
-	// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define on amd64.
+	// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define on
+	// amd64.
 	tcpUserTimeout = 0x12
 )
 
@@ -51,8 +52,8 @@
 	}
 }
 
-// Request is one request to an upstream. Do adds the Host and
-// Content-Length headers.
+// Request is one request to an upstream. Do adds the headers Host and
+// Content-Length.
 type Request struct {
 	Method string
 	// Target is the path and query as the caller sent them.
