--- a/btlease/lease.go
+++ b/btlease/lease.go
@@ -93,10 +93,10 @@
 	l.notify()
 }
 
-// Poke asks for a read of the lease object, because the holder that the host
+// RequestRead asks for a read of the lease object, because the holder that the host
 // knows does not answer or is no longer the holder. Calls within a second of
 // the last read have no effect.
-func (l *Lease) Poke() {
+func (l *Lease) RequestRead() {
 	l.init()
 	l.mu.Lock()
 	l.machine.poke(l.Timer.Now())
--- a/btlease/lease_test.go
+++ b/btlease/lease_test.go
@@ -265,12 +265,12 @@
 		assert.Equal(t, s.watch(15*time.Second), 15*time.Second)
 		assert.Equal(t, s.holder(), first)
 	})
-	run("a released lease is taken after a poke", func(t *testing.T, s *sim) {
+	run("a released lease is acquired after RequestRead", func(t *testing.T, s *sim) {
 		first := s.await(time.Second)
 		time.Sleep(2 * time.Second)
 		assert.NilError(t, s.leases[first].Release(t.Context()))
 		for _, l := range s.leases {
-			l.Poke()
+			l.RequestRead()
 		}
 		second := s.await(time.Second)
 		assert.Assert(t, second != first)
--- a/btlease/machine.go
+++ b/btlease/machine.go
@@ -19,7 +19,7 @@
 	WaitDuration = Duration + Duration/100
 	// retryPeriod spaces store calls after a failure.
 	retryPeriod = 500 * time.Millisecond
-	// pollPeriod spaces the reads that Poke asks for.
+	// pollPeriod spaces the reads that RequestRead asks for.
 	pollPeriod = time.Second
 	// forever is a wait that ends with another event.
 	forever = time.Hour
--- a/btplace/history_test.go
+++ b/btplace/history_test.go
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = h.lease.Resign(ctx, 3*time.Second)
-	other.lease.Poke()
+	other.lease.RequestRead()
 }
 
 // assertFences checks that fencing numbers never fall among the orders that an
--- a/btview/beat.go
+++ b/btview/beat.go
@@ -27,7 +27,7 @@
 func (c *Cell) sendBeat(ctx context.Context) {
 	to, ok := c.heartbeatTarget()
 	if !ok {
-		c.Lease.Poke()
+		c.Lease.RequestRead()
 		return
 	}
 	if to.host == c.Self.Host {
@@ -38,11 +38,11 @@
 		c.failures = 0
 		return
 	case hinted:
-		c.Lease.Poke()
+		c.Lease.RequestRead()
 		c.soon(ctx)
 		return
 	}
-	c.Lease.Poke()
+	c.Lease.RequestRead()
 	c.failures++
 	if c.failures == 1 {
 		c.retry(ctx, to)
