--- a/btdaemon/health.go
+++ b/btdaemon/health.go
@@ -60,7 +60,7 @@
 		d.log.Event(btevent.StoreDown).Time("lastAnswer", d.store.LastAnswer()).Send()
 	}
 	h.storeDown = down
-	expired := d.cluster.cell.View() != nil && now.Sub(d.cluster.cell.Heard()) > btview.LeaseDuration
+	expired := d.cluster.cell.View() != nil && now.Sub(d.cluster.cell.ViewLeaseStart()) > btview.LeaseDuration
 	if expired && !h.viewExpired {
 		d.log.Event(btevent.ViewExpired).Send()
 	}
--- a/btview/cell.go
+++ b/btview/cell.go
@@ -306,16 +306,16 @@
 	}
 }
 
-// Contact returns the time of the last answer of the store or of a peer.
-func (c *Cell) Contact() time.Time {
+// LastContact returns the time of the last answer of the store or of a peer.
+func (c *Cell) LastContact() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.member.contact
 }
 
-// Heard returns the start of the view lease: when this member last asked the
+// ViewLeaseStart returns the start of the view lease: when this member last asked the
 // holder or the store with success.
-func (c *Cell) Heard() time.Time {
+func (c *Cell) ViewLeaseStart() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.member.leaseStart
