--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -72,7 +72,7 @@
 	}
 	c.lease = &btlease.Lease{Store: d.store, Timer: d.timers, Cell: s.Cell, Host: s.Host, PeerAddr: s.PeerListen}
 	c.cell = &btview.Cell{
-		Name: s.Cell, Lease: c.lease, Store: d.store, Timer: d.timers, Transport: btview.Peers{Node: c.node},
+		Name: s.Cell, Lease: c.lease, Store: d.store, Timer: d.timers, Transport: btview.PeerTransport{Node: c.node},
 		Self: btview.Member{
 			Host: s.Host, Incarnation: uint64(d.started.UnixNano()), PeerAddr: s.PeerListen, FailureDomain: s.FailureDomain,
 		},
--- a/btremote/sim_test.go
+++ b/btremote/sim_test.go
@@ -151,7 +151,7 @@
 	lease := &btlease.Lease{Store: m.store, Timer: s.timers, Cell: "c", Host: m.host, PeerAddr: addr}
 	m.cell = &btview.Cell{
 		Name: "c", Self: btview.Member{Host: m.host, Incarnation: uint64(time.Now().UnixNano()), PeerAddr: addr},
-		Lease: lease, Store: m.store, Timer: s.timers, Transport: btview.Peers{Node: m.node},
+		Lease: lease, Store: m.store, Timer: s.timers, Transport: btview.PeerTransport{Node: m.node},
 		OnView:         func(v *btview.View) { s.moved(m, v) },
 		ConfigRevision: func() bramleytack.Revision { return m.config.Digest().Revision },
 	}
--- a/btview/links_test.go
+++ b/btview/links_test.go
@@ -42,7 +42,7 @@
 			l := &btlease.Lease{Store: store, Timer: timers, Cell: "c", Host: host, PeerAddr: addr}
 			c := &Cell{
 				Name: "c", Self: Member{Host: host, Incarnation: 1, PeerAddr: addr},
-				Lease: l, Store: store, Timer: timers, Transport: Peers{n},
+				Lease: l, Store: store, Timer: timers, Transport: PeerTransport{n},
 			}
 			Register(mux, c)
 			listener := network.Listen(addr)
--- a/btview/transport.go
+++ b/btview/transport.go
@@ -12,7 +12,7 @@
 	"bramleytack/btwire"
 )
 
-// Transport sends messages to peers. Peers is the Transport over btpeer.
+// Transport sends messages to peers. PeerTransport is the Transport over btpeer.
 type Transport interface {
 	Heartbeat(ctx context.Context, to bramleytack.HostID, m *btwire.Heartbeat) (*btwire.HeartbeatReply, error)
 	Push(ctx context.Context, to bramleytack.HostID, m *btwire.ViewPush) (*btwire.ViewAck, error)
@@ -24,21 +24,21 @@
 	Redial(host bramleytack.HostID)
 }
 
-// Peers is the Transport over the links of a node.
-type Peers struct{ *btpeer.Node }
+// PeerTransport is the Transport over the links of a node.
+type PeerTransport struct{ *btpeer.Node }
 
 // Heartbeat sends a heartbeat.
-func (p Peers) Heartbeat(ctx context.Context, to bramleytack.HostID, m *btwire.Heartbeat) (*btwire.HeartbeatReply, error) {
+func (p PeerTransport) Heartbeat(ctx context.Context, to bramleytack.HostID, m *btwire.Heartbeat) (*btwire.HeartbeatReply, error) {
 	return btpeer.Call[btwire.Heartbeat, btwire.HeartbeatReply](ctx, p.Node, to, m)
 }
 
 // Push sends a view.
-func (p Peers) Push(ctx context.Context, to bramleytack.HostID, m *btwire.ViewPush) (*btwire.ViewAck, error) {
+func (p PeerTransport) Push(ctx context.Context, to bramleytack.HostID, m *btwire.ViewPush) (*btwire.ViewAck, error) {
 	return btpeer.Call[btwire.ViewPush, btwire.ViewAck](ctx, p.Node, to, m)
 }
 
 // State announces that a daemon is leaving.
-func (p Peers) State(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error) {
+func (p PeerTransport) State(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error) {
 	return btpeer.Call[btwire.EntryState, btwire.EntryStateReply](ctx, p.Node, to, m)
 }
 
