--- a/btremote/owners.go
+++ b/btremote/owners.go
@@ -350,7 +350,7 @@
 		return btowner.Ownership{ViewNumber: p.ViewNumber, Mode: btramp.Normal}, true
 	case btview.Fallback:
 		return btowner.Ownership{ViewNumber: p.ViewNumber, Mode: btramp.Fallback}, true
-	case btview.Reserved:
+	case btview.HalfWithheld:
 		return btowner.Ownership{ViewNumber: p.ViewNumber, Mode: btramp.ReserveHalf}, true
 	default:
 		return btowner.Ownership{}, false
--- a/btview/cell_test.go
+++ b/btview/cell_test.go
@@ -95,7 +95,7 @@
 		s.restart(s.any(r), wait(r, 10*time.Second))
 	}},
 	// A read that shows an old view as unchanged confirms it wrongly. For this
-	// row only, the old owner may be Full while the new one is Reserved.
+	// row only, the old owner may be Full while the new one is HalfWithheld.
 	{"stale reads and a member is cut off", func(s *sim, r *rand.Rand) {
 		s.staleReads = true
 		s.store.SetFault(btmemstore.Fault{StaleReads: max(1, uint64(s.store.Revision()))})
@@ -262,12 +262,12 @@
 		id := owned(s, h)
 		s.network.pause(h)
 		s.watch(LeaseDuration + HeartbeatPeriod)
-		assert.Assert(t, s.network.cell(h).MayGrant(id).Mode < Reserved)
+		assert.Assert(t, s.network.cell(h).MayGrant(id).Mode < HalfWithheld)
 		s.watch(8 * time.Second)
 		next, _ := s.network.cell(s.holder()).Owner(id)
 		assert.Assert(t, next != h)
-		assert.Equal(t, s.network.cell(next).MayGrant(id).Mode, Reserved)
-		s.watch(ReservedDuration)
+		assert.Equal(t, s.network.cell(next).MayGrant(id).Mode, HalfWithheld)
+		s.watch(WithholdDuration)
 		assert.Equal(t, s.network.cell(next).MayGrant(id).Mode, Full)
 	})
 	run("a holder that hears nobody gives the lease up", func(t *testing.T, s *sim) {
--- a/btview/holder.go
+++ b/btview/holder.go
@@ -142,7 +142,7 @@
 	var list []Previous
 	for _, p := range h.view.Previous {
 		at, ok := h.successor[p.Number]
-		if ok && now.Sub(at) >= ReservedDuration || h.left(p) {
+		if ok && now.Sub(at) >= WithholdDuration || h.left(p) {
 			continue
 		}
 		p.Expired = p.Expired || ok && now.Sub(at) >= SettleDuration
--- a/btview/member.go
+++ b/btview/member.go
@@ -20,9 +20,9 @@
 	// Fallback means that the view cannot be confirmed: a warm upstream is
 	// served, a cold one gets half of its base limit, without a ramp.
 	Fallback
-	// Reserved means that half of the base limit of a cold upstream stays
+	// HalfWithheld means that half of the base limit of a cold upstream stays
 	// unused, since the old owner may serve it in Fallback.
-	Reserved
+	HalfWithheld
 	// Full means that the whole limit may be used.
 	Full
 )
@@ -194,8 +194,8 @@
 	if !prev.Expired && passed < SettleDuration {
 		return Waiting, SettleDuration - passed
 	}
-	if passed < ReservedDuration && m.missing(old.Host) && !m.acks.gone[old.Host] {
-		return Reserved, 0
+	if passed < WithholdDuration && m.missing(old.Host) && !m.acks.gone[old.Host] {
+		return HalfWithheld, 0
 	}
 	return Full, 0
 }
--- a/btview/member_test.go
+++ b/btview/member_test.go
@@ -46,14 +46,14 @@
 	}{
 		{"no word from the holder", Previous{Number: 1, Members: others}, nil, 0, Waiting},
 		{"old owner missing", Previous{Number: 1, Members: others}, missing(old.Host), SettleDuration - 1, Waiting},
-		{"old owner missing for long", Previous{Number: 1, Members: others}, missing(old.Host), SettleDuration, Reserved},
-		{"old owner missing for very long", Previous{Number: 1, Members: others}, missing(old.Host), ReservedDuration, Full},
+		{"old owner missing for long", Previous{Number: 1, Members: others}, missing(old.Host), SettleDuration, HalfWithheld},
+		{"old owner missing for very long", Previous{Number: 1, Members: others}, missing(old.Host), WithholdDuration, Full},
 		{"old owner gone from the host list", Previous{Number: 1, Members: others}, gone, SettleDuration, Full},
 		{"the host list does not shorten the wait", Previous{Number: 1, Members: others}, gone, time.Second, Waiting},
 		{"an entry missing", Previous{Number: 1, Members: others}, missing(entry.Host), time.Second, Waiting},
 		{"an entry missing for long", Previous{Number: 1, Members: others}, missing(entry.Host), SettleDuration, Full},
 		{"all acknowledged", Previous{Number: 1, Members: others}, missing(), 0, Full},
-		{"expired view", Previous{Number: 1, Members: others, Expired: true}, missing(old.Host), 0, Reserved},
+		{"expired view", Previous{Number: 1, Members: others, Expired: true}, missing(old.Host), 0, HalfWithheld},
 		{"own earlier run", Previous{Number: 1, Members: list}, nil, time.Second, Waiting},
 		{"own run", Previous{Number: 1, Members: now}, nil, 0, Full},
 	}
--- a/btview/sim_test.go
+++ b/btview/sim_test.go
@@ -188,7 +188,7 @@
 	last      map[bramleytack.UpstreamID]map[bramleytack.HostID]grants
 	// acked holds the newest view that a host had, which outlives the host.
 	acked map[bramleytack.HostID]uint64
-	// staleReads allows a pair of Full and Reserved: see the faults.
+	// staleReads allows a pair of Full and HalfWithheld: see the faults.
 	staleReads bool
 	starts     uint64
 	// worst is the longest time for which an upstream had no owner that granted.
@@ -317,7 +317,7 @@
 			continue
 		}
 		p := c.MayGrant(id)
-		if p.Mode != Full && (p.Mode != Reserved || s.staleReads) {
+		if p.Mode != Full && (p.Mode != HalfWithheld || s.staleReads) {
 			continue
 		}
 		if granting != "" {
--- a/btview/times.go
+++ b/btview/times.go
@@ -15,9 +15,9 @@
 	SettleDuration = (LeaseDuration + GrantValidity) * 101 / 100
 	// SilenceLimit is how long a member stays in the view without heartbeats.
 	SilenceLimit = 2500 * time.Millisecond
-	// ReservedDuration is how long a new owner leaves part of the capacity
+	// WithholdDuration is how long a new owner leaves part of the capacity
 	// unused for an old owner that did not acknowledge.
-	ReservedDuration = 60 * time.Second
+	WithholdDuration = 60 * time.Second
 	// quietLimit is when a holder starts to suspect its own links. All members
 	// pass it before the first one reaches SilenceLimit, since their heartbeats
 	// are at most HeartbeatPeriod apart.
