--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -79,7 +79,7 @@
 		OnView:         d.viewChanged,
 		ConfigRevision: func() bramleytack.Revision { return d.config.Digest().Revision },
 	}
-	c.owners = &btremote.Owners{Self: s.Host, Node: c.node, Cell: c.cell, Table: d.table, Loads: d.loads, Timer: d.timers, Room: d.room}
+	c.owners = &btremote.Owners{Self: s.Host, Node: c.node, Cell: c.cell, Table: d.table, Loads: d.loads, Timer: d.timers, OnFreeCapacity: d.room}
 	d.table.Ownership = c.owners
 	c.claims = &btremote.Claims{Self: s.Host, Node: c.node, Cell: c.cell}
 	for n := range claimShards {
@@ -117,7 +117,7 @@
 	d.limiter.SetMembers(hosts)
 	d.cluster.exchange.Forget(v)
 	d.own()
-	d.cluster.owners.Moved(context.Background())
+	d.cluster.owners.ReportReservations(context.Background())
 }
 
 // own brings the owned upstreams in line with the view.
--- a/btdaemon/serve.go
+++ b/btdaemon/serve.go
@@ -125,7 +125,7 @@
 		Ready:    d.Ready(),
 		Isolated: d.isolated(),
 		Queued:   d.queue.Waiting(),
-		Held:     d.cluster.owners.Held(),
+		Held:     d.cluster.owners.ReservationCount(),
 		Daemons:  d.cluster.exchange.States(),
 	}
 	if v := d.cluster.cell.View(); v != nil {
--- a/btremote/owners.go
+++ b/btremote/owners.go
@@ -44,9 +44,9 @@
 	Loads *btroute.Loads
 	Timer bramleytack.Timer
 
-	// Room is told that an owned or remote upstream may have room for one more
-	// request of this entry. It may be nil.
-	Room func(bramleytack.UpstreamID)
+	// OnFreeCapacity is called when an upstream of any owner may have a free slot
+	// for one more request of this entry. It may be nil.
+	OnFreeCapacity func(bramleytack.UpstreamID)
 
 	mu   sync.Mutex
 	held map[bramleytack.GrantID]heldGrant
@@ -105,8 +105,8 @@
 }
 
 func (o *Owners) announce(id bramleytack.UpstreamID) {
-	if o.Room != nil {
-		o.Room(id)
+	if o.OnFreeCapacity != nil {
+		o.OnFreeCapacity(id)
 	}
 }
 
@@ -254,9 +254,9 @@
 	o.held[r.Grant] = heldGrant{reservation: r, instance: g.Instance, asked: asked}
 }
 
-// Moved tells the new owners which reservations this entry holds. It is called
+// ReportReservations tells the new owners which reservations this entry holds. It is called
 // when a view is installed, before the view is acknowledged.
-func (o *Owners) Moved(ctx context.Context) {
+func (o *Owners) ReportReservations(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	now := o.Timer.Now()
@@ -335,8 +335,8 @@
 	}
 }
 
-// Held returns the number of reservations that this entry uses.
-func (o *Owners) Held() int {
+// ReservationCount returns the number of reservations that this entry uses.
+func (o *Owners) ReservationCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.held)
--- a/btremote/owners_test.go
+++ b/btremote/owners_test.go
@@ -264,7 +264,7 @@
 		m := e.members[(owner+1)%8]
 		_, err := m.owners.Reserve(e.t.Context(), reservation("g", m.host))
 		assert.NilError(e.t, err)
-		assert.Equal(e.t, m.owners.Held(), 1)
+		assert.Equal(e.t, m.owners.ReservationCount(), 1)
 		e.members[owner].stop()
 		time.Sleep(2 * start)
 		host, _ := m.cell.Owner("u")
@@ -299,7 +299,7 @@
 			_, err := m.owners.Reserve(e.t.Context(), reservation(string(m.host), m.host))
 			assert.ErrorContains(e.t, err, "earlier view", "entry %s", m.host)
 			assert.Equal(e.t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
-			assert.Equal(e.t, m.owners.Held(), 0)
+			assert.Equal(e.t, m.owners.ReservationCount(), 0)
 		}
 		time.Sleep(time.Second)
 		d, _ := o.table.Digest("u")
--- a/btremote/sim_test.go
+++ b/btremote/sim_test.go
@@ -212,7 +212,7 @@
 			m.table.Disown(u.ID)
 		}
 	}
-	m.owners.Moved(m.ctx)
+	m.owners.ReportReservations(m.ctx)
 }
 
 // watch follows the store while the member is one of the cell's watchers.
