--- a/btclaim/filter.go
+++ b/btclaim/filter.go
@@ -27,9 +27,9 @@
 	Entry bramleytack.HostID
 	// FinishTimeout is DefaultFinishTimeout if zero.
 	FinishTimeout time.Duration
-	// Unrecorded is told of outcomes that could not be recorded. The claim
+	// OnFinishError is told of outcomes that could not be recorded. The claim
 	// then stays without outcome. It may be nil.
-	Unrecorded func(key ClaimKey, request bramleytack.RequestID, err error)
+	OnFinishError func(key ClaimKey, request bramleytack.RequestID, err error)
 }
 
 // Handle implements bramleytack.Filter.
@@ -70,8 +70,8 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), or(f.FinishTimeout, DefaultFinishTimeout))
 	defer cancel()
 	failed := f.Claims.Finish(ctx, key, attempt, outcome, rec.response)
-	if failed != nil && f.Unrecorded != nil {
-		f.Unrecorded(key, r.ID, failed)
+	if failed != nil && f.OnFinishError != nil {
+		f.OnFinishError(key, r.ID, failed)
 	}
 	return err
 }
--- a/btclaim/filter_test.go
+++ b/btclaim/filter_test.go
@@ -107,7 +107,7 @@
 	run(t, "store down after dispatch", func(t *testing.T, e env) {
 		lost := 0
 		f := &Filter{Snapshots: snapshots{}, Claims: e.shard()}
-		f.Unrecorded = func(ClaimKey, bramleytack.RequestID, error) { lost++ }
+		f.OnFinishError = func(ClaimKey, bramleytack.RequestID, error) { lost++ }
 		b := &backend{hook: func() { e.store.SetFault(btmemstore.Fault{Down: true}) }}
 		w := &sink{}
 		assert.NilError(t, f.Handle(t.Context(), call("POST", "k"), w, b))
--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -53,7 +53,7 @@
 		&btidentity.Filter{Snapshots: d.snapshots, Timer: d.timers, MaxTimeout: s.Limits.MaxTimeout, Complete: d.complete},
 		&btclaim.Filter{
 			Snapshots: d.snapshots, Claims: &btclaim.Router{Count: claimShards, Owner: c.claims.Owner},
-			Entry: s.Host, Unrecorded: d.unrecorded,
+			Entry: s.Host, OnFinishError: d.unrecorded,
 		},
 		&btlimit.Filter{Limiter: d.limiter, Snapshots: d.snapshots, Timer: d.timers},
 		&btquarantine.Filter{Table: d.suspects, Arbiter: c.suspects.Arbitrate},
