--- a/btclaim/claim.go
+++ b/btclaim/claim.go
@@ -57,8 +57,8 @@
 	Run
 	// Replay means that the call ran and that its answer is kept.
 	Replay
-	// NotKept means that the call ran and that its answer was too long to keep.
-	NotKept
+	// ResponseNotKept means that the call ran and that its answer was too long to keep.
+	ResponseNotKept
 	// InProgress means that an earlier call has no outcome yet.
 	InProgress
 	// KeyReused means that the key belongs to a call with another body.
--- a/btclaim/filter.go
+++ b/btclaim/filter.go
@@ -112,7 +112,7 @@
 		}
 		response.Header.Set(ReplayedHeader, "true")
 		return w.Respond(&response)
-	case NotKept:
+	case ResponseNotKept:
 		return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran,
 			"an earlier call with this idempotency key ran with status %d; its answer was not kept", d.Status)
 	case InProgress:
--- a/btclaim/record.go
+++ b/btclaim/record.go
@@ -14,9 +14,9 @@
 	"bramleytack"
 )
 
-// MaxAnswerBytes is the size of the largest answer that is kept, counting its
+// MaxKeptResponseBytes is the size of the largest answer that is kept, counting its
 // body and headers.
-const MaxAnswerBytes = 4096
+const MaxKeptResponseBytes = 4096
 
 var errFormat = errors.New("btclaim: malformed object")
 
@@ -60,7 +60,7 @@
 	}
 	digest := sha256.Sum256(r.Body)
 	a := &answer{Status: r.Status, Digest: digest[:]}
-	if answerBytes(r) <= MaxAnswerBytes && validHeader(r.Header) {
+	if answerBytes(r) <= MaxKeptResponseBytes && validHeader(r.Header) {
 		a.Kept, a.Header, a.Body = true, r.Header, r.Body
 	}
 	return a
@@ -88,9 +88,9 @@
 
 func (a *answer) decision() Decision {
 	if a == nil {
-		return Decision{Kind: NotKept}
+		return Decision{Kind: ResponseNotKept}
 	}
-	d := Decision{Kind: NotKept, Status: a.Status}
+	d := Decision{Kind: ResponseNotKept, Status: a.Status}
 	copy(d.Digest[:], a.Digest)
 	if a.Kept {
 		d.Kind = Replay
--- a/btclaim/shard_test.go
+++ b/btclaim/shard_test.go
@@ -106,9 +106,9 @@
 	run(t, "a long answer is not kept", func(t *testing.T, e env) {
 		a := e.shard()
 		d := assertBegin(t, a, "k", Run)
-		r := &bramleytack.Response{Status: 200, Body: make([]byte, MaxAnswerBytes+1)}
+		r := &bramleytack.Response{Status: 200, Body: make([]byte, MaxKeptResponseBytes+1)}
 		assert.NilError(t, a.Finish(t.Context(), key("k"), d.Attempt, bramleytack.Ran, r))
-		assert.Equal(t, assertBegin(t, a, "k", NotKept).Status, 200)
+		assert.Equal(t, assertBegin(t, a, "k", ResponseNotKept).Status, 200)
 	})
 	run(t, "a claim without outcome is never run again", func(t *testing.T, e env) {
 		assertBegin(t, e.shard(), "k", Run)
--- a/btremote/claims.go
+++ b/btremote/claims.go
@@ -129,17 +129,17 @@
 }
 
 var statusOfKind = map[btclaim.DecisionKind]btwire.ClaimStatus{
-	btclaim.NoOutcome:  btwire.ClaimStatus_CLAIM_STATUS_NO_OUTCOME,
-	btclaim.Run:        btwire.ClaimStatus_CLAIM_STATUS_GRANTED,
-	btclaim.Replay:     btwire.ClaimStatus_CLAIM_STATUS_DONE,
-	btclaim.NotKept:    btwire.ClaimStatus_CLAIM_STATUS_DONE,
-	btclaim.InProgress: btwire.ClaimStatus_CLAIM_STATUS_CLAIMED,
-	btclaim.KeyReused:  btwire.ClaimStatus_CLAIM_STATUS_KEY_REUSED,
+	btclaim.NoOutcome:       btwire.ClaimStatus_CLAIM_STATUS_NO_OUTCOME,
+	btclaim.Run:             btwire.ClaimStatus_CLAIM_STATUS_GRANTED,
+	btclaim.Replay:          btwire.ClaimStatus_CLAIM_STATUS_DONE,
+	btclaim.ResponseNotKept: btwire.ClaimStatus_CLAIM_STATUS_DONE,
+	btclaim.InProgress:      btwire.ClaimStatus_CLAIM_STATUS_CLAIMED,
+	btclaim.KeyReused:       btwire.ClaimStatus_CLAIM_STATUS_KEY_REUSED,
 }
 
 func encodeDecision(d btclaim.Decision) *btwire.ClaimReply {
 	m := &btwire.ClaimReply{Status: statusOfKind[d.Kind], Attempt: string(d.Attempt)}
-	if d.Kind == btclaim.Replay || d.Kind == btclaim.NotKept {
+	if d.Kind == btclaim.Replay || d.Kind == btclaim.ResponseNotKept {
 		m.Answer = encodeAnswer(d.Response)
 		if m.Answer == nil {
 			m.Answer = &btwire.StoredAnswer{}
@@ -161,7 +161,7 @@
 	case btwire.ClaimStatus_CLAIM_STATUS_KEY_REUSED:
 		d.Kind = btclaim.KeyReused
 	case btwire.ClaimStatus_CLAIM_STATUS_DONE:
-		d.Kind = btclaim.NotKept
+		d.Kind = btclaim.ResponseNotKept
 		d.Status = int(m.GetAnswer().GetStatus())
 		copy(d.Digest[:], m.GetAnswer().GetDigest())
 		if d.Response = decodeAnswer(m.GetAnswer()); d.Response != nil {
--- a/btremote/claims_test.go
+++ b/btremote/claims_test.go
@@ -148,8 +148,8 @@
 			d, err = c.begin(key, "second")
 			assert.NilError(t, err)
 			want := btclaim.Replay
-			if n > btclaim.MaxAnswerBytes {
-				want = btclaim.NotKept
+			if n > btclaim.MaxKeptResponseBytes {
+				want = btclaim.ResponseNotKept
 			}
 			assert.Equal(t, d.Kind, want, "%d bytes", n)
 			assert.Equal(t, d.Status, 201, "%d bytes", n)
