--- a/btconfig/watcher.go
+++ b/btconfig/watcher.go
@@ -23,10 +23,10 @@
 
 // WatchStats is the state of a Watcher.
 type WatchStats struct {
-	// Listed is the number of kinds that were listed at least once, Following
-	// the number of kinds with an open watch.
-	Listed    int `json:"listed"`
-	Following int `json:"following"`
+	// ListedKinds is the number of kinds that were listed at least once.
+	// OpenWatches is the number of kinds with an open watch.
+	ListedKinds int `json:"listed"`
+	OpenWatches int `json:"following"`
 	// Reopened counts silent watches, Failures all other ends of a watch or list.
 	Reopened uint64 `json:"reopened"`
 	Failures uint64 `json:"failures"`
@@ -71,12 +71,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.stats
-	s.Listed = len(w.listed)
+	s.ListedKinds = len(w.listed)
 	return s
 }
 
 // Synced says whether all kinds were listed since Run began.
-func (w *Watcher) Synced() bool { return w.Stats().Listed == len(configKinds) }
+func (w *Watcher) Synced() bool { return w.Stats().ListedKinds == len(configKinds) }
 
 func (w *Watcher) loop(ctx context.Context, kind string) {
 	attempt := 0
@@ -152,7 +152,7 @@
 func (w *Watcher) following(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stats.Following += n
+	w.stats.OpenWatches += n
 }
 
 func (w *Watcher) failed(kind string, err error) {
--- a/btdaemon/serve.go
+++ b/btdaemon/serve.go
@@ -187,7 +187,7 @@
 	d.metrics.Gauge("config_objects", "Records of the configuration, without deleted ones.", func() float64 { return float64(d.config.Stats().Objects) })
 	d.metrics.Gauge("owned_upstreams", "Upstreams that this daemon owns.", func() float64 { return float64(len(d.table.Digests())) })
 	d.metrics.Counter("store_watches_total", "Watches opened at the platform's store.", func() float64 { return float64(d.store.Counts().Watches) })
-	d.metrics.Gauge("store_watches_open", "Watches of the configuration that are open.", func() float64 { return float64(d.watcher.Stats().Following) })
+	d.metrics.Gauge("store_watches_open", "Watches of the configuration that are open.", func() float64 { return float64(d.watcher.Stats().OpenWatches) })
 }
 
 func keyHashes(hexHashes []string) [][sha256.Size]byte {
