--- a/btdispatch/dispatcher.go
+++ b/btdispatch/dispatcher.go
@@ -98,7 +98,7 @@
 	}
 	r.Model = ref.Model
 	relay := d.relay(engine, r, ref.Upstream, ref.Instance, ref.Version)
-	relay.From = r.From
+	relay.FirstIndex = r.From
 	return relay.Run(ctx, stream, w)
 }
 
@@ -160,10 +160,10 @@
 		Expires: r.Deadline.Add(tokenLifetime),
 	}
 	return &btrelay.Relay{
-		Engine: engine,
-		Timer:  d.Timer,
-		Gone:   func(err error) bool { return errors.Is(err, btupstream.ErrGone) },
-		Opening: func(s bramleytack.StreamID) (bramleytack.Opening, error) {
+		Engine:           engine,
+		Timer:            d.Timer,
+		IsGenerationLost: func(err error) bool { return errors.Is(err, btupstream.ErrGone) },
+		NewOpening: func(s bramleytack.StreamID) (bramleytack.Opening, error) {
 			ref.Stream = s
 			token, err := d.Tokens.Seal(ref)
 			return bramleytack.Opening{RequestID: r.ID, Model: r.Model, Version: version, GenerationToken: token}, err
--- a/btrelay/relay.go
+++ b/btrelay/relay.go
@@ -28,12 +28,12 @@
 type Relay struct {
 	Engine bramleytack.Engine
 	Timer  bramleytack.Timer
-	// Opening makes the announcement once the engine's stream id is known.
-	Opening func(id bramleytack.StreamID) (bramleytack.Opening, error)
-	// From is the index of the first token to pass.
-	From int
-	// Gone says that an error means that the engine lost the generation.
-	Gone func(error) bool
+	// NewOpening makes the announcement once the engine's stream id is known.
+	NewOpening func(id bramleytack.StreamID) (bramleytack.Opening, error)
+	// FirstIndex is the index of the first token to pass.
+	FirstIndex int
+	// IsGenerationLost says that an error means that the engine lost the generation.
+	IsGenerationLost func(error) bool
 	// ResumeWindow is how long resumption is tried without progress.
 	ResumeWindow time.Duration
 
@@ -48,7 +48,7 @@
 // CodeIncomplete. An abandoned generation is canceled at the engine.
 func (r *Relay) Run(ctx context.Context, stream bramleytack.Stream, w bramleytack.ResponseWriter) error {
 	r.stream = stream
-	r.next = r.From
+	r.next = r.FirstIndex
 	err := r.pump(ctx, w)
 	_ = r.stream.Close()
 	if err != nil {
@@ -59,7 +59,7 @@
 }
 
 // Delivered returns the number of tokens that the caller was sent.
-func (r *Relay) Delivered() int { return r.next - r.From }
+func (r *Relay) Delivered() int { return r.next - r.FirstIndex }
 
 func (r *Relay) pump(ctx context.Context, w bramleytack.ResponseWriter) error {
 	for {
@@ -118,7 +118,7 @@
 		}
 		return nil
 	}
-	o, err := r.Opening(id)
+	o, err := r.NewOpening(id)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 			r.stream = s
 			return nil
 		}
-		if r.Gone != nil && r.Gone(err) {
+		if r.IsGenerationLost != nil && r.IsGenerationLost(err) {
 			return err
 		}
 		if err := r.Timer.Sleep(ctx, wait); err != nil {
--- a/btrelay/relay_test.go
+++ b/btrelay/relay_test.go
@@ -179,10 +179,10 @@
 	timers := bttimer.New(1)
 	defer timers.Close()
 	r := Relay{
-		Engine:  e,
-		Timer:   timers,
-		Gone:    func(err error) bool { return errors.Is(err, errGone) },
-		Opening: func(bramleytack.StreamID) (bramleytack.Opening, error) { return bramleytack.Opening{}, nil },
+		Engine:           e,
+		Timer:            timers,
+		IsGenerationLost: func(err error) bool { return errors.Is(err, errGone) },
+		NewOpening:       func(bramleytack.StreamID) (bramleytack.Opening, error) { return bramleytack.Opening{}, nil },
 	}
 	return r.Run(t.Context(), s, w)
 }
