--- a/btlength/curve.go
+++ b/btlength/curve.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Steps is the number of intervals of a Curve.
-const Steps = 15
+// Intervals is the number of intervals of a Curve.
+const Intervals = 15
 
-// Horizon returns the number of tokens, from now, at which interval k begins:
+// IntervalStart returns the number of tokens, from now, at which interval k begins:
 // 0, 8, 16, 32 and so on.
-func Horizon(k int) int {
+func IntervalStart(k int) int {
 	if k <= 0 {
 		return 0
 	}
@@ -16,13 +16,13 @@
 
 // Curve forecasts one generation over intervals of its remaining tokens.
 type Curve struct {
-	// Alive is the probability that the generation is still running when
+	// Survival is the probability that the generation is still running when
 	// interval k begins.
-	Alive [Steps]float32
-	// Reach is the expected number of further tokens at the end of the
+	Survival [Intervals]float32
+	// MeanTokens is the expected number of further tokens at the end of the
 	// interval, or at the generation's end within it, counted as zero for a
 	// generation that ended before the interval.
-	Reach [Steps]float32
+	MeanTokens [Intervals]float32
 }
 
 // survival is the distribution of a residual length.
@@ -92,18 +92,18 @@
 // addBucket adds a residual that is uniform over [lo, hi] with probability p.
 func (c *Curve) addBucket(p float32, lo, hi, limit float64) {
 	lo, hi = min(lo, limit), min(hi, limit)
-	for k := range Steps {
-		from := float64(Horizon(k))
+	for k := range Intervals {
+		from := float64(IntervalStart(k))
 		if hi <= from {
 			return
 		}
 		to := math.Inf(1)
-		if k+1 < Steps {
-			to = float64(Horizon(k + 1))
+		if k+1 < Intervals {
+			to = float64(IntervalStart(k + 1))
 		}
 		alive, reach := overlap(lo, hi, from, to)
-		c.Alive[k] += p * float32(alive)
-		c.Reach[k] += p * float32(reach)
+		c.Survival[k] += p * float32(alive)
+		c.MeanTokens[k] += p * float32(reach)
 	}
 }
 
--- a/btlength/estimator.go
+++ b/btlength/estimator.go
@@ -83,8 +83,8 @@
 	return int(s.quantile(min(max(quantile, 0), 1)) + 0.5)
 }
 
-// Expected returns the expected number of further tokens.
-func (e *Estimator) Expected(k Key, produced int) float64 {
+// MeanResidual returns the expected number of further tokens.
+func (e *Estimator) MeanResidual(k Key, produced int) float64 {
 	s := e.survival(k, produced)
 	return s.mean()
 }
--- a/btlength/estimator_test.go
+++ b/btlength/estimator_test.go
@@ -31,7 +31,7 @@
 			got := float64(e.Residual(k, produced, q))
 			assert.Assert(t, got > want/1.35 && got < want*1.35, "produced %d, q %.2f: got %.0f, want %.0f", produced, q, got, want)
 		}
-		mean := e.Expected(k, produced)
+		mean := e.MeanResidual(k, produced)
 		assert.Assert(t, mean > 800 && mean < 1250, "mean %.0f after %d", mean, produced)
 	}
 }
@@ -74,11 +74,11 @@
 		produced := rapid.IntRange(0, 400000).Draw(t, "produced")
 		limit := rapid.IntRange(1, 5000).Draw(t, "limit")
 		c := e.Curve(Key{}, produced, limit)
-		assert.Assert(t, c.Alive[0] > 0.99 && c.Alive[0] < 1.01, "alive %v", c.Alive)
-		for i := range Steps {
-			assert.Assert(t, i == 0 || c.Alive[i] <= c.Alive[i-1]+1e-4)
-			assert.Assert(t, c.Reach[i] >= 0 && c.Reach[i] <= c.Alive[i]*float32(limit)*1.01+1e-3)
-			assert.Assert(t, Horizon(i) < limit || c.Alive[i] == 0)
+		assert.Assert(t, c.Survival[0] > 0.99 && c.Survival[0] < 1.01, "alive %v", c.Survival)
+		for i := range Intervals {
+			assert.Assert(t, i == 0 || c.Survival[i] <= c.Survival[i-1]+1e-4)
+			assert.Assert(t, c.MeanTokens[i] >= 0 && c.MeanTokens[i] <= c.Survival[i]*float32(limit)*1.01+1e-3)
+			assert.Assert(t, IntervalStart(i) < limit || c.Survival[i] == 0)
 		}
 		assert.Assert(t, e.Residual(Key{}, produced, 0.5) >= 0)
 		assert.Assert(t, e.Residual(Key{}, produced, 0.5) <= e.Residual(Key{}, produced, 0.9))
--- a/btowner/forecast.go
+++ b/btowner/forecast.go
@@ -9,8 +9,8 @@
 // memoryForecast holds the mean and the variance of memory use, in tokens, for
 // each interval of a btlength.Curve.
 type memoryForecast struct {
-	mean     [btlength.Steps]float64
-	variance [btlength.Steps]float64
+	mean     [btlength.Intervals]float64
+	variance [btlength.Intervals]float64
 }
 
 // forecastGeneration returns the memory use of a generation that holds size
@@ -19,14 +19,14 @@
 // the forecasts can be added.
 func forecastGeneration(size int, c *btlength.Curve) memoryForecast {
 	var m memoryForecast
-	for k := range btlength.Steps {
-		alive := float64(c.Alive[k])
+	for k := range btlength.Intervals {
+		alive := float64(c.Survival[k])
 		if alive <= 0 {
 			break
 		}
-		reach := float64(c.Reach[k]) / alive
+		reach := float64(c.MeanTokens[k]) / alive
 		use := float64(size) + reach
-		width := reach - float64(btlength.Horizon(k))
+		width := reach - float64(btlength.IntervalStart(k))
 		m.mean[k] = use * alive
 		// The first term is the Bernoulli variance of still running, the second
 		// the variance of a uniform distribution within the interval.
--- a/btowner/short_requests.go
+++ b/btowner/short_requests.go
@@ -52,7 +52,7 @@
 	if u.cfg.AnyLengthWhenCold || u.memorySize() <= 0 || u.ramp.Warm() || !u.ramp.Slow() {
 		return false
 	}
-	expected := u.cfg.Lengths.Expected(res.lengthKey(), 0)
+	expected := u.cfg.Lengths.MeanResidual(res.lengthKey(), 0)
 	if res.MaxTokens > 0 {
 		expected = min(expected, float64(res.MaxTokens))
 	}
