--- a/btplace/version_test.go
+++ b/btplace/version_test.go
@@ -106,7 +106,7 @@
 			x.with(id, func(now time.Time, c *btengine.Core) { x.table.Report(id, c.Report(now)) })
 		}
 		filter := &btroute.Filter{
-			Entry: "h", Snapshots: x, Owner: x.table, Timer: x.timer, Loads: &x.loads, Holders: &x.loads, OtherVersions: true,
+			Entry: "h", Snapshots: x, Owner: x.table, Timer: x.timer, Loads: &x.loads, Models: &x.loads, AllowOtherVersions: true,
 			Policy: &btroute.Scored{Prefixes: &btroute.Prefixes{}}, Retry: &btroute.Backoff{Timer: x.timer},
 		}
 		x.start(t, &link{fleet: x.fleet}, &grant{fence: 1, left: held}, btmemstore.New(), Times{}, Policy{})
--- a/btroute/candidates.go
+++ b/btroute/candidates.go
@@ -11,19 +11,19 @@
 // request: about the time in which a new view or a load report arrives.
 const unavailableRetry = time.Second
 
-// Holders says which engines have confirmed that they hold a model version.
-type Holders interface {
-	// Holds reports whether the upstream's last report lists m. An empty
+// ModelIndex says which engines have confirmed that they hold a model version.
+type ModelIndex interface {
+	// HasModel reports whether the upstream's last report lists m. An empty
 	// version matches every version.
-	Holds(id bramleytack.UpstreamID, m bramleytack.LoadedModel) bool
+	HasModel(id bramleytack.UpstreamID, m bramleytack.LoadedModel) bool
 }
 
-// Fallback is implemented by Holders that know the other versions of a model
+// VersionFallback is implemented by a ModelIndex that knows the other versions of a model
 // which an engine holds.
-type Fallback interface {
-	// Other returns a version of the model with the same adapter that the
+type VersionFallback interface {
+	// OtherVersion returns a version of the model with the same adapter that the
 	// upstream's last report lists.
-	Other(id bramleytack.UpstreamID, m bramleytack.LoadedModel) (version string, ok bool)
+	OtherVersion(id bramleytack.UpstreamID, m bramleytack.LoadedModel) (version string, ok bool)
 }
 
 // wideAttempt is the attempt from which an entry looks beyond its subset.
@@ -96,11 +96,11 @@
 
 // held returns the version that an upstream offers for a wanted one.
 func (f *Filter) held(id bramleytack.UpstreamID, want bramleytack.LoadedModel) (string, bool) {
-	if f.Holders == nil || f.Holders.Holds(id, want) {
+	if f.Models == nil || f.Models.HasModel(id, want) {
 		return want.Version, true
 	}
-	if o, ok := f.Holders.(Fallback); ok && f.OtherVersions {
-		return o.Other(id, want)
+	if o, ok := f.Models.(VersionFallback); ok && f.AllowOtherVersions {
+		return o.OtherVersion(id, want)
 	}
 	return "", false
 }
--- a/btroute/doc.go
+++ b/btroute/doc.go
@@ -23,7 +23,7 @@
 //		Owner:     owners,
 //		Timer:     timers,
 //		Loads:     loads,
-//		Holders:   loads,
+//		Models:    loads,
 //		Policy:    &btroute.Scored{Domain: domain, Prefixes: &btroute.Prefixes{}},
 //		Retry:     &btroute.Backoff{Timer: timers},
 //	}
--- a/btroute/filter.go
+++ b/btroute/filter.go
@@ -38,13 +38,13 @@
 	Retry Retry
 	// Loads may be nil.
 	Loads *Loads
-	// Holders may be nil: then each upstream in a model's list holds it.
-	Holders Holders
-	// OtherVersions lets an engine that holds another version of the model run
+	// Models may be nil: then each upstream in a model's list holds it.
+	Models ModelIndex
+	// AllowOtherVersions lets an engine that holds another version of the model run
 	// requests. Placement replaces engines a few at a time after a change of
 	// version, and those that wait for their turn go on serving. It has an
-	// effect if Holders implements Fallback.
-	OtherVersions bool
+	// effect if Models implements VersionFallback.
+	AllowOtherVersions bool
 	// SubsetSize bounds the upstreams per model that this entry uses. Zero
 	// takes a default.
 	SubsetSize int
--- a/btroute/loads.go
+++ b/btroute/loads.go
@@ -46,7 +46,7 @@
 	refusedUntil time.Time
 }
 
-// Loads holds the load of upstreams and implements Holders. The zero value is
+// Loads holds the load of upstreams and implements ModelIndex. The zero value is
 // ready for use.
 type Loads struct {
 	mu        sync.RWMutex
@@ -104,8 +104,8 @@
 	return r.digest, true
 }
 
-// Holds implements Holders by the last digest of the upstream.
-func (l *Loads) Holds(id bramleytack.UpstreamID, want bramleytack.LoadedModel) bool {
+// HasModel implements ModelIndex by the last digest of the upstream.
+func (l *Loads) HasModel(id bramleytack.UpstreamID, want bramleytack.LoadedModel) bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	r, ok := l.upstreams[id]
@@ -120,8 +120,8 @@
 	return false
 }
 
-// Other implements Fallback by the last digest of the upstream.
-func (l *Loads) Other(id bramleytack.UpstreamID, want bramleytack.LoadedModel) (string, bool) {
+// OtherVersion implements VersionFallback by the last digest of the upstream.
+func (l *Loads) OtherVersion(id bramleytack.UpstreamID, want bramleytack.LoadedModel) (string, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	r, ok := l.upstreams[id]
--- a/btroute/prefixes.go
+++ b/btroute/prefixes.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Last returns the sequence number of the last event of an engine.
-func (p *Prefixes) Last(id bramleytack.UpstreamID) uint64 {
+// LastSequence returns the sequence number of the last event of an engine.
+func (p *Prefixes) LastSequence(id bramleytack.UpstreamID) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.feed(id).last
--- a/btroute/scored_test.go
+++ b/btroute/scored_test.go
@@ -114,7 +114,7 @@
 		p := fresh()
 		p.Apply(start, "u", "i", []bramleytack.CacheEvent{{Sequence: 4}})
 		assertNone(t, p, start)
-		assert.Equal(t, p.Last("u"), uint64(4))
+		assert.Equal(t, p.LastSequence("u"), uint64(4))
 	})
 	t.Run("repeated events are no gap", func(t *testing.T) {
 		p := fresh()
@@ -158,12 +158,12 @@
 	l.refuse(start, "u", time.Hour)
 	assert.Assert(t, l.Load(start, "u").Refused && !l.Load(start.Add(2*time.Second), "u").Refused)
 
-	assert.Assert(t, l.Holds("u", bramleytack.LoadedModel{Model: "m", Version: "2"}))
-	assert.Assert(t, l.Holds("u", bramleytack.LoadedModel{Model: "m"}))
-	assert.Assert(t, !l.Holds("u", bramleytack.LoadedModel{Model: "m", Version: "1"}))
-	assert.Assert(t, !l.Holds("u", bramleytack.LoadedModel{Model: "m", Version: "2", Adapter: "a"}))
+	assert.Assert(t, l.HasModel("u", bramleytack.LoadedModel{Model: "m", Version: "2"}))
+	assert.Assert(t, l.HasModel("u", bramleytack.LoadedModel{Model: "m"}))
+	assert.Assert(t, !l.HasModel("u", bramleytack.LoadedModel{Model: "m", Version: "1"}))
+	assert.Assert(t, !l.HasModel("u", bramleytack.LoadedModel{Model: "m", Version: "2", Adapter: "a"}))
 	l.Retain(&bramleytack.Snapshot{})
-	assert.Assert(t, !l.Holds("u", bramleytack.LoadedModel{Model: "m"}))
+	assert.Assert(t, !l.HasModel("u", bramleytack.LoadedModel{Model: "m"}))
 }
 
 // Guards against subsets that differ between calls, leave upstreams unused
@@ -255,7 +255,7 @@
 	}
 	f, _ := newFilter(b, s)
 	f.Owner = granter{}
-	f.Loads, f.Holders, f.Policy = loads, loads, &Scored{Prefixes: &Prefixes{}}
+	f.Loads, f.Models, f.Policy = loads, loads, &Scored{Prefixes: &Prefixes{}}
 	r := &bramleytack.Request{Kind: bramleytack.Generate, Model: "m", Prompt: strings.Repeat("p", 4096)}
 	ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error { return nil })
 	b.ReportAllocs()
--- a/internal/btbench/entry.go
+++ b/internal/btbench/entry.go
@@ -45,7 +45,7 @@
 	}
 	e.limiter.SetMembers(members)
 	route := &btroute.Filter{
-		Entry: e.id, Snapshots: e, Timer: t, Loads: e.loads, Holders: e,
+		Entry: e.id, Snapshots: e, Timer: t, Loads: e.loads, Models: e,
 		Retry:    &btroute.Backoff{Timer: t, Float: rng.Float64},
 		NewGrant: e.newGrant,
 	}
@@ -68,8 +68,8 @@
 	return bramleytack.GrantID(string(e.id) + "-" + strconv.Itoa(e.grants))
 }
 
-// Holds implements btroute.Holders by health checks.
-func (e *entry) Holds(id bramleytack.UpstreamID, _ bramleytack.LoadedModel) bool {
+// HasModel implements btroute.ModelIndex by health checks.
+func (e *entry) HasModel(id bramleytack.UpstreamID, _ bramleytack.LoadedModel) bool {
 	return !e.sim.engine(id).down
 }
 
@@ -134,7 +134,7 @@
 	now := e.sim.clock.now
 	for _, g := range e.sim.engines {
 		if !g.core.Dead() {
-			e.prefixes.Apply(now, g.id, g.core.Instance(), g.core.CacheEvents(now, e.prefixes.Last(g.id)))
+			e.prefixes.Apply(now, g.id, g.core.Instance(), g.core.CacheEvents(now, e.prefixes.LastSequence(g.id)))
 		}
 	}
 }
