--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -66,7 +66,7 @@
 			Granted:            d.queue.Granted,
 		},
 		&btquarantine.Detector{Table: d.suspects, Snapshots: d.snapshots, Upstreams: d.pool, Crashed: d.crashed, Flush: c.suspects.Flush},
-		&btquarantine.Track{Table: d.suspects},
+		&btquarantine.Tracker{Table: d.suspects},
 	)
 	d.front = &btfront.Front{
 		Path: path, Timer: d.timers, Entries: d, MaxBody: s.Limits.MaxBody, MaxHeader: s.Limits.MaxHeader, Failed: d.requestFailed,
--- a/btquarantine/detector.go
+++ b/btquarantine/detector.go
@@ -14,7 +14,7 @@
 const evidenceTimeout = time.Second
 
 // Detector looks at an upstream after a request to it broke off, and reports a
-// crash if IsCrash says so. It stands between the route filter and Track.
+// crash if IsCrash says so. It stands between the route filter and Tracker.
 type Detector struct {
 	Table     *Table
 	Snapshots bramleytack.Snapshots
--- a/btquarantine/doc.go
+++ b/btquarantine/doc.go
@@ -31,14 +31,14 @@
 // Filter stands before the route filter and sets Request.Suspect, which the
 // route filter copies to its reservation. The route filter offers a suspect to
 // one upstream only. A request that it offers again after a broken stream may
-// have crashed the first upstream, so it sets the mark for that attempt. Track
+// have crashed the first upstream, so it sets the mark for that attempt. Tracker
 // stands directly before dispatch and knows what is in flight where.
 //
 // # Usage
 //
 //	table := &btquarantine.Table{Store: store, Timer: timers, Snapshots: snapshots, Notify: sendToPeers}
 //	go table.Run(ctx)
-//	path := bramleytack.Chain(dispatch, &btquarantine.Filter{Table: table}, route, &btquarantine.Track{Table: table})
+//	path := bramleytack.Chain(dispatch, &btquarantine.Filter{Table: table}, route, &btquarantine.Tracker{Table: table})
 //
 //	if btquarantine.IsCrash(evidence) {
 //		table.ReportCrash(upstream, instance, table.InFlight(upstream, instance))
--- a/btquarantine/filter.go
+++ b/btquarantine/filter.go
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// Track notes what is in flight at which upstream. It stands directly before
+// Tracker notes what is in flight at which upstream. It stands directly before
 // dispatch, where the request's target is known.
-type Track struct {
+type Tracker struct {
 	Table *Table
 }
 
 // Handle implements bramleytack.Filter.
-func (f *Track) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
+func (f *Tracker) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call || r.Target.Upstream == nil {
 		return next.Handle(ctx, r, w)
 	}
--- a/btquarantine/table_test.go
+++ b/btquarantine/table_test.go
@@ -128,7 +128,7 @@
 			if r.Suspect {
 				r.Target.Grant.Instance += bramleytack.InstanceID(fmt.Sprint("-alone", i))
 			}
-			return (&Track{Table: table}).Handle(ctx, r, w, last)
+			return (&Tracker{Table: table}).Handle(ctx, r, w, last)
 		})
 		entered := f.requests
 		errs[i] = (&Filter{Table: table}).Handle(f.t.Context(), r, nil, route)
