--- a/btramp/ramp.go
+++ b/btramp/ramp.go
@@ -7,16 +7,19 @@
 	"bramleytack"
 )
 
-// Mode lowers the limit while ownership is in doubt.
+// Mode says whether the limit is lowered because more than one daemon may own
+// the upstream.
 type Mode uint8
 
 // The modes of a Ramp.
 const (
-	// Normal ramps up on success.
+	// Normal raises the limit on success.
 	Normal Mode = iota
-	// Fallback gives a cold upstream half of its base, without a ramp.
+	// Fallback allows half of the base while the upstream is cold. Successes do
+	// not raise the limit.
 	Fallback
-	// ReserveHalf leaves half of the base to another owner, without a ramp.
+	// ReserveHalf leaves half of the base to another owner. Successes do not
+	// raise the limit.
 	ReserveHalf
 )
 
@@ -35,15 +38,15 @@
 
 // The reasons for a reset.
 const (
-	// Started means that no reset happened since the ramp was made.
+	// Started means that no reset happened since the ramp was created.
 	Started Reason = iota
 	// Restarted means that the upstream has a new instance id.
 	Restarted
-	// Failures means a burst of failures.
+	// Failures means too many failures within a short time.
 	Failures
-	// SlowFirstToken means latency like that of a cold start.
+	// SlowFirstToken means first-token latency like that of a cold upstream.
 	SlowFirstToken
-	// DomainReturned means that the failure domain was out of service.
+	// DomainReturned means that the failure domain returned to service.
 	DomainReturned
 	// SlowPace means decoding steps as slow as those of a cold upstream.
 	SlowPace
@@ -59,9 +62,10 @@
 	return "invalid"
 }
 
-// inheritAge is the age up to which another owner's level is taken over. A
-// takeover takes about 6 s: 2.5 s to notice, one write, and 3 s of leases.
-const inheritAge = 15 * time.Second
+// maxInheritAge is the greatest age of a level reported by another owner that is
+// still taken over. A takeover takes about 6 s: 2.5 s to detect the failure, one
+// write to the store, and 3 s until leases expire.
+const maxInheritAge = 15 * time.Second
 
 // Config holds the settings of a Ramp. Zero fields take defaults.
 type Config struct {
@@ -120,99 +124,105 @@
 // Admission ties a request to the level at which it was admitted.
 type Admission struct {
 	epoch uint32
-	// full is set when the request ran above the level before this one.
-	full bool
+	// provesLevel is set if the request was admitted at a concurrency above the
+	// previous level. Only the success of such a request counts.
+	provesLevel bool
 }
 
 // Result describes how a request ended.
 type Result struct {
-	// OK is set for a success, Failed for a failure of the upstream. A
-	// request that was never sent has neither.
+	// OK is set for a success, Failed for a failure of the upstream. Neither is
+	// set for a request that was never sent.
 	OK     bool
 	Failed bool
 	// FirstToken is the time to the first token, zero if there was none.
 	FirstToken   time.Duration
 	PromptTokens int
-	// Queued is set when the upstream had requests waiting, which explains a
-	// slow first token.
+	// Queued is set if the upstream had requests waiting. FirstToken is then
+	// not compared with the usual latency.
 	Queued bool
 }
 
-// Ramp is the warm-up limit of one upstream.
+// Ramp limits the concurrency and the prompt token rate of one upstream. It is
+// not safe for concurrent use.
 type Ramp struct {
 	cfg      Config
 	mode     Mode
 	instance bramleytack.InstanceID
 	level    int
-	// epoch counts changes of the level. Successes of requests that were
-	// admitted at another level do not count.
+	// epoch counts the times that the level was set. Successes of requests that
+	// were admitted in an earlier epoch do not count.
 	epoch     uint32
 	successes int
-	// since is when a request was first admitted at this level.
-	since   time.Time
-	reason  Reason
-	resetAt time.Time
-
-	bucket  bucket
-	burst   burst
-	latency latency
-	pace    pace
+	// firstAdmitted is when the first request was admitted in this epoch.
+	firstAdmitted time.Time
+	reason        Reason
+	resetAt       time.Time
+
+	bucket   bucket
+	failures failureWindow
+	latency  firstTokenLatency
+	steps    stepTimes
 }
 
 // New returns a ramp at its base.
 func New(cfg Config) *Ramp {
 	r := &Ramp{cfg: cfg.withDefaults()}
 	r.level = r.cfg.ColdLimit
-	r.burst.size = r.cfg.FailureCount
+	r.failures.limit = r.cfg.FailureCount
 	return r
 }
 
-// Configure changes the limits. A level above the new warm limit is cut.
+// Configure changes the settings. The level is kept within the new cold and warm
+// limits.
 func (r *Ramp) Configure(cfg Config) {
 	cfg = cfg.withDefaults()
 	if cfg == r.cfg {
 		return
 	}
 	r.cfg = cfg
-	r.burst.size = cfg.FailureCount
+	r.failures.limit = cfg.FailureCount
 	r.setLevel(min(max(r.level, cfg.ColdLimit), cfg.WarmLimit))
 }
 
-// SetMode changes the mode.
+// SetMode changes the mode. The level stays.
 func (r *Ramp) SetMode(m Mode) { r.mode = m }
 
 // Mode returns the mode.
 func (r *Ramp) Mode() Mode { return r.mode }
 
-// Level returns the concurrency that the upstream has earned.
+// Level returns the concurrency that the upstream has earned by successes. The
+// mode does not lower it.
 func (r *Ramp) Level() int { return r.level }
 
-// Base returns the concurrency that a started upstream bears.
+// Base returns the concurrency that a cold upstream can sustain.
 func (r *Ramp) Base() int { return r.cfg.ColdLimit }
 
-// Warm says whether the upstream has earned its warm limit.
+// Warm reports whether the level has reached the warm limit.
 func (r *Ramp) Warm() bool { return r.level >= r.cfg.WarmLimit }
 
-// Reason returns why and when the ramp last went back to base.
+// Reason returns the reason and the time of the last reset. The time is zero if
+// there was none.
 func (r *Ramp) Reason() (Reason, time.Time) { return r.reason, r.resetAt }
 
-// Limit returns the concurrency that the upstream may have now.
+// Limit returns the concurrency that is allowed now: the level, lowered
+// according to the mode.
 func (r *Ramp) Limit() int {
 	switch r.mode {
 	case Fallback:
 		if r.Warm() {
 			return r.level
 		}
-		return r.half()
+		return r.halfBase()
 	case ReserveHalf:
-		return r.level - r.half()
+		return r.level - r.halfBase()
 	default:
 		return r.level
 	}
 }
 
-// half returns what a cold upstream gets in Fallback.
-func (r *Ramp) half() int { return max(1, r.cfg.ColdLimit/2) }
+// halfBase returns half of the base, at least 1.
+func (r *Ramp) halfBase() int { return max(1, r.cfg.ColdLimit/2) }
 
 // ObserveInstance takes the instance id of a load report. A change of the id is
 // a restart and resets the ramp; an empty id is ignored.
@@ -220,21 +230,23 @@
 	if id == "" || id == r.instance {
 		return
 	}
-	known := r.instance != ""
+	restarted := r.instance != ""
 	r.instance = id
-	if known {
+	if restarted {
 		r.Reset(now, Restarted)
 	}
 }
 
-// Instance returns the last instance id that was observed.
+// Instance returns the last instance id that was observed, empty if there was
+// none.
 func (r *Ramp) Instance() bramleytack.InstanceID { return r.instance }
 
-// Inherit takes over half of the level that another owner reported age ago
-// for the same instance. The half allows for signals that the other owner saw
-// after its report. A ramp that has seen a reset keeps its level.
+// Inherit raises the level to half of the level that another owner reported for
+// the same instance, age ago. It does not take the whole level, since the other
+// owner may have seen signs of a cold upstream after its report. A level that is
+// too old is ignored, and so is any level after a reset of this ramp.
 func (r *Ramp) Inherit(id bramleytack.InstanceID, level int, age time.Duration) {
-	if id == "" || id != r.instance || r.reason != Started || age > inheritAge {
+	if id == "" || id != r.instance || r.reason != Started || age > maxInheritAge {
 		return
 	}
 	if level = min(level/2, r.cfg.WarmLimit); level > r.level {
@@ -242,84 +254,88 @@
 	}
 }
 
-// Reset takes the ramp back to base.
-func (r *Ramp) Reset(now time.Time, why Reason) {
-	r.reason, r.resetAt = why, now
-	r.burst.clear()
-	r.latency = latency{}
+// Reset takes the ramp back to base and discards what was observed, apart from
+// the usual step times and the mode.
+func (r *Ramp) Reset(now time.Time, reason Reason) {
+	r.reason, r.resetAt = reason, now
+	r.failures.clear()
+	r.latency = firstTokenLatency{}
 	r.bucket = bucket{}
-	r.pace.row = 0
-	r.pace.slow = r.pace.known() && r.cfg.SlowStepFactor > 0
+	r.steps.slowInRow = 0
+	r.steps.slow = r.steps.known() && r.cfg.SlowStepFactor > 0
 	r.setLevel(r.cfg.ColdLimit)
 }
 
-// Wait returns how long a prompt has to wait for the prompt token rate. The
-// concurrency limit is not part of it.
+// Wait returns the time until the prompt token rate allows another prompt, 0 at
+// the warm limit. It does not consider the concurrency limit.
 func (r *Ramp) Wait(now time.Time) time.Duration {
 	if r.Warm() {
 		return 0
 	}
-	return r.bucket.wait(now, r.rate())
+	return r.bucket.wait(now, r.promptRate())
 }
 
-// Admit counts a request that starts beside running others, if both limits
-// allow it.
+// Admit decides whether a request may start while the given number of others
+// run. It returns false if the concurrency limit or the prompt token rate is
+// exhausted.
 func (r *Ramp) Admit(now time.Time, running, promptTokens int) (Admission, bool) {
 	if running >= r.Limit() || r.Wait(now) > 0 {
 		return Admission{}, false
 	}
 	if !r.Warm() {
-		r.bucket.take(now, r.rate(), float64(promptTokens))
+		r.bucket.take(now, r.promptRate(), float64(promptTokens))
 	}
-	if r.since.IsZero() {
-		r.since = now
+	if r.firstAdmitted.IsZero() {
+		r.firstAdmitted = now
 	}
-	return Admission{epoch: r.epoch, full: r.level == r.cfg.ColdLimit || running+1 > r.level/2}, true
+	return Admission{epoch: r.epoch, provesLevel: r.level == r.cfg.ColdLimit || running+1 > r.level/2}, true
 }
 
-// Progress counts a request as a success before its end, when the upstream
-// reports that it produces tokens.
-func (r *Ramp) Progress(now time.Time, m Admission) {
-	if r.mode != Normal || m.epoch != r.epoch || !m.full || r.Warm() || r.pace.slow {
+// Progress counts a request as a success, either at its end or earlier, when the
+// upstream reports that it produces tokens. Each request must be counted only
+// once.
+func (r *Ramp) Progress(now time.Time, a Admission) {
+	if r.mode != Normal || a.epoch != r.epoch || !a.provesLevel || r.Warm() || r.steps.slow {
 		return
 	}
 	r.successes++
-	successes, dwell := r.needed()
-	if r.successes >= successes && now.Sub(r.since) >= dwell {
+	successes, dwell := r.required()
+	if r.successes >= successes && now.Sub(r.firstAdmitted) >= dwell {
 		r.setLevel(min(r.level*2, r.cfg.WarmLimit))
 	}
 }
 
-// needed returns the successes and the time before the level doubles. A warm
-// pace is better evidence than the number of successes, and long requests
-// hold their places for longer than a level should last.
-func (r *Ramp) needed() (successes int, dwell time.Duration) {
-	if r.cfg.SlowStepFactor < 0 || r.cfg.NormalStepDwell < 0 || !r.pace.known() {
+// required returns the successes and the time that are required before the level
+// doubles. Fewer successes suffice if the usual step time is known: normal steps
+// are better evidence of a warm upstream than the number of successes, and long
+// requests occupy their slots for longer than a level should last.
+func (r *Ramp) required() (successes int, dwell time.Duration) {
+	if r.cfg.SlowStepFactor < 0 || r.cfg.NormalStepDwell < 0 || !r.steps.known() {
 		return r.level * r.cfg.SuccessesPerSlot, r.cfg.Dwell
 	}
 	return max(1, int(float64(r.level)*r.cfg.NormalStepSuccessShare)), r.cfg.NormalStepDwell
 }
 
-// End counts the end of a request.
-func (r *Ramp) End(now time.Time, m Admission, s Result) {
-	if s.Failed {
-		r.fail(now, m)
+// End records the end of a request that was admitted.
+func (r *Ramp) End(now time.Time, a Admission, res Result) {
+	if res.Failed {
+		r.recordFailure(now, a)
 		return
 	}
-	if s.FirstToken > 0 && !s.Queued && r.latency.slow(s, r.cfg) {
+	if res.FirstToken > 0 && !res.Queued && r.latency.observe(res, r.cfg) {
 		r.Reset(now, SlowFirstToken)
 		return
 	}
-	if s.OK {
-		r.Progress(now, m)
+	if res.OK {
+		r.Progress(now, a)
 	}
 }
 
-func (r *Ramp) fail(now time.Time, m Admission) {
-	if m.epoch == r.epoch {
+func (r *Ramp) recordFailure(now time.Time, a Admission) {
+	if a.epoch == r.epoch {
 		r.successes = 0
 	}
-	if r.burst.add(now, r.cfg.FailureWindow) {
+	if r.failures.add(now, r.cfg.FailureWindow) {
 		r.Reset(now, Failures)
 	}
 }
@@ -327,9 +343,9 @@
 func (r *Ramp) setLevel(n int) {
 	r.level = n
 	r.successes = 0
-	r.since = time.Time{}
+	r.firstAdmitted = time.Time{}
 	r.epoch++
 }
 
-// rate returns the prompt tokens per second that go with the limit.
-func (r *Ramp) rate() float64 { return float64(max(1, r.Limit())) * r.cfg.TokensPerSlot }
+// promptRate returns the prompt tokens per second that the limit allows.
+func (r *Ramp) promptRate() float64 { return float64(max(1, r.Limit())) * r.cfg.TokensPerSlot }
--- a/btramp/ramp_test.go
+++ b/btramp/ramp_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Guards against a cold upstream that gets more than it has proved to bear,
-// under any order of events, in any mode.
+// Guards against a limit above the level that successes have earned, in any
+// order of events and in any mode.
 func TestNeverOverEarnedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{ColdLimit: rapid.IntRange(1, 6).Draw(t, "cold"), TokensPerSlot: 100, Dwell: 1}
@@ -21,13 +21,13 @@
 		r := New(cfg)
 		now := start
 		type request struct {
-			mark   Admission
-			resets int
+			admission Admission
+			resets    int
 		}
 		var open []request
-		// earned is an independent upper bound: base, doubled for each
-		// base x 2 or more successes since the last reset, of requests that
-		// began after it and ended in normal mode.
+		// earned is an independent upper bound: the base, doubled once for each
+		// 2 successes per unit of the limit since the last reset. Only requests
+		// that began after the reset and ended in normal mode count.
 		successes, instance, resets := 0, 0, 0
 		r.ObserveInstance(now, "0")
 		reset := func() { successes = 0; resets++ }
@@ -48,8 +48,8 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"admit": func(t *rapid.T) {
-				if m, ok := r.Admit(now, len(open), rapid.IntRange(0, 300).Draw(t, "prompt")); ok {
-					open = append(open, request{m, resets})
+				if a, ok := r.Admit(now, len(open), rapid.IntRange(0, 300).Draw(t, "prompt")); ok {
+					open = append(open, request{a, resets})
 					assert.Assert(t, len(open) <= r.Limit())
 				}
 			},
@@ -63,7 +63,7 @@
 					successes++
 				}
 				epoch := r.epoch
-				r.End(now, open[0].mark, s)
+				r.End(now, open[0].admission, s)
 				open = open[1:]
 				if s.Failed && r.epoch != epoch {
 					reset()
@@ -84,8 +84,8 @@
 	})
 }
 
-// Guards against a ramp that never rises, rises on unused capacity, or misses
-// one of the signals of a cold upstream.
+// Guards against a ramp that never rises, rises without use of the limit, or
+// misses one of the signals of a cold upstream.
 func TestSignals(t *testing.T) {
 	warm := func() *Ramp {
 		r := New(Config{ColdLimit: 1, WarmLimit: 8})
@@ -121,12 +121,12 @@
 		serve(r, start, 1, slow)
 		assertReset(t, r, SlowFirstToken)
 	})
-	t.Run("a trickle of requests proves only the level it reached", func(t *testing.T) {
+	t.Run("one request at a time reaches level 2 at most", func(t *testing.T) {
 		r := New(Config{ColdLimit: 1, WarmLimit: 8})
 		for i := range 100 {
 			now := start.Add(time.Duration(i) * time.Second)
-			m, _ := r.Admit(now, 0, 0)
-			r.End(now, m, Result{OK: true})
+			a, _ := r.Admit(now, 0, 0)
+			r.End(now, a, Result{OK: true})
 		}
 		assert.Equal(t, r.Level(), 2)
 	})
@@ -137,7 +137,7 @@
 		serve(r, start.Add(5*time.Second), 100, Result{OK: true})
 		assert.Equal(t, r.Level(), 2)
 	})
-	t.Run("inherit", func(t *testing.T) {
+	t.Run("half of a recent level of the same instance is inherited", func(t *testing.T) {
 		r := New(Config{ColdLimit: 1, WarmLimit: 8})
 		r.ObserveInstance(start, "a")
 		r.Inherit("b", 8, 0)
@@ -151,24 +151,25 @@
 	})
 }
 
-// serve ends n requests, each admitted with the limit nearly reached.
+// serve admits and ends n requests, each with one slot of the limit left.
 func serve(r *Ramp, now time.Time, n int, s Result) {
 	for range n {
-		m, _ := r.Admit(now, r.Limit()-1, 0)
-		r.End(now, m, s)
+		a, _ := r.Admit(now, r.Limit()-1, 0)
+		r.End(now, a, s)
 	}
 }
 
 func assertReset(t *testing.T, r *Ramp, want Reason) {
 	t.Helper()
-	why, _ := r.Reason()
-	assert.Equal(t, why, want)
+	reason, _ := r.Reason()
+	assert.Equal(t, reason, want)
 	assert.Equal(t, r.Level(), 1)
 }
 
-// An engine that was cold completed enough requests at its base to earn more,
-// and died of them; one that turned cold without notice kept its limit.
-func TestPaceShowsCold(t *testing.T) {
+// Guards against a ramp that ignores slow decoding steps. A cold engine completed
+// enough requests at its base to raise its limit and crashed under the higher
+// load. An engine that became cold without a restart kept its warm limit.
+func TestSlowStepsIndicateCold(t *testing.T) {
 	const warm, cold = 12 * time.Millisecond, 48 * time.Millisecond
 	now := time.Unix(0, 0)
 	r := New(Config{ColdLimit: 2, WarmLimit: 2})
@@ -176,31 +177,31 @@
 		r.ObserveStep(now, 8, warm)
 	}
 	r.Configure(Config{ColdLimit: 2, WarmLimit: 16})
-	earn := func() {
-		mark, ok := r.Admit(now, 1, 1)
+	succeed := func() {
+		admission, ok := r.Admit(now, 1, 1)
 		assert.Assert(t, ok)
 		now = now.Add(time.Minute)
 		for range 8 {
-			r.Progress(now, mark)
+			r.Progress(now, admission)
 		}
 	}
-	t.Run("no success while slow", func(t *testing.T) {
+	t.Run("successes do not count while steps are slow", func(t *testing.T) {
 		r.ObserveStep(now, 2, cold)
-		earn()
+		succeed()
 		assert.Equal(t, r.Level(), 2)
 	})
-	t.Run("success when fast", func(t *testing.T) {
+	t.Run("successes count when steps are normal", func(t *testing.T) {
 		r.ObserveStep(now, 2, warm)
-		earn()
+		succeed()
 		assert.Equal(t, r.Level(), 4)
 	})
-	t.Run("warm turns cold", func(t *testing.T) {
+	t.Run("slow steps reset a warm ramp", func(t *testing.T) {
 		r.Configure(Config{ColdLimit: 2, WarmLimit: 4})
 		r.ObserveStep(now, 4, cold)
 		assert.Equal(t, r.Level(), 4)
 		r.ObserveStep(now, 4, cold)
 		assert.Equal(t, r.Level(), 2)
-		why, _ := r.Reason()
-		assert.Equal(t, why, SlowPace)
+		reason, _ := r.Reason()
+		assert.Equal(t, reason, SlowPace)
 	})
 }
--- a/btramp/signals.go
+++ b/btramp/signals.go
@@ -1,21 +1,20 @@
 package btramp
 
-import (
-	"time"
-)
+import "time"
 
-// bucket limits prompt tokens. It holds one second of the rate. A prompt that
-// is larger is let in when the bucket is full and leaves a debt.
+// bucket is a token bucket for prompt tokens that holds one second of the rate.
+// A prompt is admitted while the bucket is not empty. A prompt with more tokens
+// than the bucket has leaves a negative number, which delays the next one.
 type bucket struct {
-	level float64
-	at    time.Time
+	tokens float64
+	at     time.Time
 }
 
 func (b *bucket) fill(now time.Time, rate float64) {
 	if b.at.IsZero() {
-		b.level = rate
+		b.tokens = rate
 	} else if d := now.Sub(b.at); d > 0 {
-		b.level = min(rate, b.level+d.Seconds()*rate)
+		b.tokens = min(rate, b.tokens+d.Seconds()*rate)
 	} else {
 		return
 	}
@@ -24,66 +23,67 @@
 
 func (b *bucket) wait(now time.Time, rate float64) time.Duration {
 	b.fill(now, rate)
-	if b.level > 0 {
+	if b.tokens > 0 {
 		return 0
 	}
 	// One nanosecond more keeps rounding from ending the wait early.
-	return time.Duration(-b.level/rate*float64(time.Second)) + 1
+	return time.Duration(-b.tokens/rate*float64(time.Second)) + 1
 }
 
 func (b *bucket) take(now time.Time, rate, tokens float64) {
 	b.fill(now, rate)
-	b.level -= tokens
+	b.tokens -= tokens
 }
 
-// burst counts failures within a window.
-type burst struct {
-	size  int
+// failureWindow counts the failures of a sliding window of time.
+type failureWindow struct {
+	limit int
 	times []time.Time
 }
 
-// add counts a failure and says whether the burst is complete.
-func (b *burst) add(now time.Time, window time.Duration) bool {
-	keep := b.times[:0]
-	for _, t := range b.times {
+// add counts a failure and reports whether the limit is reached.
+func (w *failureWindow) add(now time.Time, window time.Duration) bool {
+	keep := w.times[:0]
+	for _, t := range w.times {
 		if now.Sub(t) < window {
 			keep = append(keep, t)
 		}
 	}
-	b.times = append(keep, now)
-	return len(b.times) >= b.size
+	w.times = append(keep, now)
+	return len(w.times) >= w.limit
 }
 
-func (b *burst) clear() { b.times = b.times[:0] }
+func (w *failureWindow) clear() { w.times = w.times[:0] }
 
 const (
 	// latencyWeight is the weight of a new sample in the usual latency.
 	latencyWeight = 0.05
-	// latencyMin is the number of samples before latency is judged.
-	latencyMin = 16
+	// minLatencySamples is the number of samples before a latency can be slow.
+	minLatencySamples = 16
 	// promptOffset is added to the prompt's tokens, so that the fixed part of
 	// the latency does not dominate for short prompts.
 	promptOffset = 256
 )
 
-// latency compares first-token latency, per prompt token, with its average.
-type latency struct {
-	usual   float64
-	samples int
-	row     int
+// firstTokenLatency compares the first-token latency per prompt token with its
+// moving average.
+type firstTokenLatency struct {
+	usual     float64
+	samples   int
+	slowInRow int
 }
 
-// slow takes a sample and says whether the last ones look like a cold start.
-// Slow samples do not move the average.
-func (l *latency) slow(s Result, cfg Config) bool {
-	v := s.FirstToken.Seconds() / float64(s.PromptTokens+promptOffset)
-	if l.samples >= latencyMin && s.FirstToken > cfg.SlowFirstTokenFloor && v > cfg.SlowFirstTokenFactor*l.usual {
-		l.row++
-		return l.row >= cfg.SlowFirstTokenCount
+// observe takes the latency of one request and reports whether enough requests
+// in a row were slow. Slow ones do not change the average.
+func (l *firstTokenLatency) observe(r Result, cfg Config) bool {
+	perToken := r.FirstToken.Seconds() / float64(r.PromptTokens+promptOffset)
+	if l.samples >= minLatencySamples && r.FirstToken > cfg.SlowFirstTokenFloor && perToken > cfg.SlowFirstTokenFactor*l.usual {
+		l.slowInRow++
+		return l.slowInRow >= cfg.SlowFirstTokenCount
 	}
-	l.row = 0
+	l.slowInRow = 0
 	l.samples++
 	weight := max(latencyWeight, 1/float64(l.samples))
-	l.usual += (v - l.usual) * weight
+	l.usual += (perToken - l.usual) * weight
 	return false
 }
