--- a/btplace/controller.go
+++ b/btplace/controller.go
@@ -9,82 +9,85 @@
 	"bramleytack"
 )
 
-// Lease is the lease of the controller's cell. Held returns the fencing number
-// and the time that is left.
+// Lease is the lease of the controller's cell.
 type Lease interface {
+	// Held returns the fencing token and the remaining time of the lease, or
+	// false if this daemon does not hold it.
 	Held() (bramleytack.Fence, time.Duration, bool)
 }
 
-// Times are the times of a Controller. Zero fields take defaults.
+// Times are the intervals and timeouts of a Controller. Zero fields take
+// defaults.
 type Times struct {
-	// Period is the time between two steps. An engine with work to do is read
-	// in each step.
+	// Period is the time between two steps. An engine that is not in its desired
+	// state is read in each step.
 	Period time.Duration
-	// OrderTimeout bounds an order, both until it is written and from then
-	// until it takes effect.
-	OrderTimeout time.Duration
-	// Margin covers clocks that differ in rate, and late timers.
+	// CommandTimeout limits the time until a command is written, and again the
+	// time from then until it takes effect.
+	CommandTimeout time.Duration
+	// Margin allows for clocks that differ in rate and for late timers.
 	Margin time.Duration
-	// DrainQuiet is how long a draining engine has to be idle before it is
-	// emptied. It covers the lag of reports, the owner's probe and the validity
-	// of a grant.
-	DrainQuiet time.Duration
-	// LoadTimeout is the time after which a load that was accepted is ordered
-	// again if the engine does not report the model.
+	// DrainIdle is how long a draining engine has to be idle before it unloads
+	// its models. It covers the lag of reports, the interval of the owner's probe
+	// and the validity of a grant.
+	DrainIdle time.Duration
+	// LoadTimeout is the time after which an accepted load command is sent again
+	// if the engine does not report the model.
 	LoadTimeout time.Duration
-	// Refused is the wait after an order that an engine refused.
-	Refused time.Duration
+	// RetryDelay is the time after which a command that an engine rejected may be
+	// sent again.
+	RetryDelay time.Duration
 }
 
 // Defaults of Times.
 const (
-	DefaultPeriod       = 2 * time.Second
-	DefaultOrderTimeout = 2 * time.Second
-	DefaultMargin       = time.Second
-	DefaultDrainQuiet   = 5 * time.Second
-	DefaultLoadTimeout  = 2 * time.Minute
-	DefaultRefused      = 10 * time.Second
+	DefaultPeriod         = 2 * time.Second
+	DefaultCommandTimeout = 2 * time.Second
+	DefaultMargin         = time.Second
+	DefaultDrainIdle      = 5 * time.Second
+	DefaultLoadTimeout    = 2 * time.Minute
+	DefaultRetryDelay     = 10 * time.Second
 )
 
 func (t Times) withDefaults() Times {
 	t.Period = cmp.Or(t.Period, DefaultPeriod)
-	t.OrderTimeout = cmp.Or(t.OrderTimeout, DefaultOrderTimeout)
+	t.CommandTimeout = cmp.Or(t.CommandTimeout, DefaultCommandTimeout)
 	t.Margin = cmp.Or(t.Margin, DefaultMargin)
-	t.DrainQuiet = cmp.Or(t.DrainQuiet, DefaultDrainQuiet)
+	t.DrainIdle = cmp.Or(t.DrainIdle, DefaultDrainIdle)
 	t.LoadTimeout = cmp.Or(t.LoadTimeout, DefaultLoadTimeout)
-	t.Refused = cmp.Or(t.Refused, DefaultRefused)
+	t.RetryDelay = cmp.Or(t.RetryDelay, DefaultRetryDelay)
 	return t
 }
 
-// lease is the time that a lease must last when an order is sent.
-func (t Times) lease() time.Duration { return t.OrderTimeout + t.Margin }
+// minLease is how long the lease must still last when a command is sent.
+func (t Times) minLease() time.Duration { return t.CommandTimeout + t.Margin }
 
-// longest is the time from the check of the lease to the latest effect of an
-// order.
-func (t Times) longest() time.Duration { return 2*t.OrderTimeout + t.Margin }
+// maxCommandDelay is the longest time from the check of the lease until a command
+// takes effect.
+func (t Times) maxCommandDelay() time.Duration { return 2*t.CommandTimeout + t.Margin }
 
 const (
-	// storeTimeout bounds a call of the store.
+	// storeTimeout limits one call of the store.
 	storeTimeout = 2 * time.Second
-	// loadTimeout bounds the reading of a load report.
-	loadTimeout = time.Second
-	// maxParallel bounds the calls of engines that are under way.
-	maxParallel = 16
-	// readsPerSecond is the rate at which engines are read that have nothing to
-	// do. Reports of busy engines have several kilobytes.
-	readsPerSecond = 4
-	// missedLimit is the number of missed reports in a row from which on an
+	// reportTimeout limits the reading of one load report.
+	reportTimeout = time.Second
+	// maxParallelCalls limits the concurrent calls of engines.
+	maxParallelCalls = 16
+	// idleReadsPerSecond limits the rate at which engines in their desired state
+	// are read, since a report with many generations has several kilobytes.
+	idleReadsPerSecond = 4
+	// maxMissedReports is the number of consecutive missed reports at which an
 	// engine counts as failed.
-	missedLimit = 3
+	maxMissedReports = 3
 	// budgetPeriod is how often the budget is read.
 	budgetPeriod = time.Minute
-	// jitterShare is the part of a period by which steps vary.
-	jitterShare = 5
+	// jitterDivisor divides the period to give the random variation of steps.
+	jitterDivisor = 5
 )
 
-// Controller sends orders to the engines of a cell while it holds the cell's
-// lease. The exported fields are set before Run. Mine, Fenced and Notify may be
-// nil.
+// Controller plans and sends commands for the engines of a cell while this daemon
+// holds the cell's lease. The exported fields must not be changed after Run is
+// called. InCell, IsStaleFence and Notify may be nil.
 type Controller struct {
 	Cell      bramleytack.CellID
 	Lease     Lease
@@ -98,20 +101,22 @@
 	// IsStaleFence reports whether an engine's error says that it has seen a newer
 	// fencing token.
 	IsStaleFence func(error) bool
-	// Notify is told the end of each order, from several goroutines.
+	// Notify is called with the result of each command, from several goroutines.
 	Notify func(Event)
 	Policy Policy
 	Times  Times
 
-	// mu guards what a dump shows. Only the goroutine of Run replaces term.
+	// mu guards the fields that Dump reads. Only the goroutine of Run replaces
+	// term.
 	mu   sync.Mutex
 	term *term
 }
 
-// Run acts for the cell whenever the lease is held, until the context ends.
+// Run performs a step in each period while the lease is held, until the context
+// ends.
 func (c *Controller) Run(ctx context.Context) {
 	c.Times = c.Times.withDefaults()
-	tick := c.Timer.Every(c.Times.Period, c.Times.Period/jitterShare)
+	tick := c.Timer.Every(c.Times.Period, c.Times.Period/jitterDivisor)
 	defer tick.Stop()
 	for {
 		c.step(ctx)
@@ -123,30 +128,31 @@
 	}
 }
 
-// step does one round: read engines, plan, write the plan, send orders.
+// step reads engines, plans, writes the desired state if it changed, and sends
+// commands.
 func (c *Controller) step(ctx context.Context) {
 	t := c.currentTerm()
 	if t == nil {
 		return
 	}
-	if !t.known && !t.read(ctx) {
+	if !t.synced && !t.readState(ctx) {
 		return
 	}
 	t.readBudget(ctx)
-	t.follow(c.engines())
-	t.poll(ctx)
-	if !t.complete() {
+	t.setEngines(c.engines())
+	t.readEngines(ctx)
+	if !t.allRead() {
 		return
 	}
 	next := t.plan()
-	if !next.equal(&t.state) && !t.write(ctx, next) {
+	if !next.equal(&t.state) && !t.writeState(ctx, next) {
 		return
 	}
-	t.order(ctx)
+	t.sendDue(ctx)
 }
 
-// currentTerm returns the term of the lease that is held now, or nil. Nothing
-// is kept from one lease to the next.
+// currentTerm returns the term of the lease that is held now, or nil. A new lease
+// starts with an empty term.
 func (c *Controller) currentTerm() *term {
 	fence, _, ok := c.Lease.Held()
 	c.mu.Lock()
@@ -160,7 +166,7 @@
 	return c.term
 }
 
-// engines returns the engines of the cell in the order of their ids.
+// engines returns the engines of the cell, sorted by id.
 func (c *Controller) engines() []*bramleytack.Upstream {
 	var list []*bramleytack.Upstream
 	for _, u := range c.Snapshots.Snapshot().Upstreams {
@@ -168,7 +174,7 @@
 			list = append(list, u)
 		}
 	}
-	return sorted(list)
+	return sortByID(list)
 }
 
 func (c *Controller) notify(e Event) {
--- a/btplace/dump.go
+++ b/btplace/dump.go
@@ -6,15 +6,20 @@
 	"bramleytack"
 )
 
-// Dump is the state of a Controller. It is empty on a daemon that does not hold
-// the lease.
+// Dump is the state of a Controller for the debug pages. It is the zero value on
+// a daemon that does not hold the lease.
 type Dump struct {
-	Acting  bool                 `json:"acting"`
-	Fence   bramleytack.Fence    `json:"fence,omitempty"`
-	Age     time.Duration        `json:"age,omitempty"`
+	// Acting is set while the daemon holds the lease. Age is the time since the
+	// Controller first saw it.
+	Acting bool              `json:"acting"`
+	Fence  bramleytack.Fence `json:"fence,omitempty"`
+	Age    time.Duration     `json:"age,omitempty"`
+	// Version is the version of the stored object with the desired state.
 	Version bramleytack.Revision `json:"version,omitempty"`
 	// Desired is the state that was last read from the store or written to it.
-	Desired State        `json:"desired"`
+	Desired State `json:"desired"`
+	// Tokens is the number of loads that the token bucket allowed when it was
+	// last refilled.
 	Tokens  float64      `json:"loadTokens"`
 	Error   string       `json:"error,omitempty"`
 	Engines []EngineDump `json:"engines,omitempty"`
@@ -22,18 +27,21 @@
 
 // EngineDump is an engine in a Dump.
 type EngineDump struct {
-	Upstream   bramleytack.UpstreamID    `json:"upstream"`
-	Instance   bramleytack.InstanceID    `json:"instance,omitempty"`
-	Role       string                    `json:"role,omitempty"`
-	Models     []bramleytack.LoadedModel `json:"models,omitempty"`
-	Missed     int                       `json:"missed"`
-	FiguresAt  time.Time                 `json:"figuresAt"`
-	LastOrder  *bramleytack.Command      `json:"lastOrder,omitempty"`
-	LastError  string                    `json:"lastError,omitempty"`
-	RepeatFrom time.Time                 `json:"repeatFrom,omitzero"`
+	Upstream bramleytack.UpstreamID    `json:"upstream"`
+	Instance bramleytack.InstanceID    `json:"instance,omitempty"`
+	Role     string                    `json:"role,omitempty"`
+	Models   []bramleytack.LoadedModel `json:"models,omitempty"`
+	// Missed is the number of reports missed since the last one that was read.
+	Missed int `json:"missed"`
+	// FiguresAt is the time that the figures of the last report describe.
+	FiguresAt   time.Time            `json:"figuresAt"`
+	LastCommand *bramleytack.Command `json:"lastOrder,omitempty"`
+	LastError   string               `json:"lastError,omitempty"`
+	// RepeatFrom is the time from which the last command may be repeated.
+	RepeatFrom time.Time `json:"repeatFrom,omitzero"`
 }
 
-// Dump returns the current state.
+// Dump returns the current state. It may be called while Run runs.
 func (c *Controller) Dump() Dump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,8 +69,8 @@
 	if e.last.at.IsZero() {
 		return d
 	}
-	o := e.last.order
-	d.LastOrder, d.RepeatFrom = &o, e.last.notBefore
+	command := e.last.command
+	d.LastCommand, d.RepeatFrom = &command, e.last.repeatFrom
 	if e.last.err != nil {
 		d.LastError = e.last.err.Error()
 	}
--- a/btplace/engine.go
+++ b/btplace/engine.go
@@ -10,79 +10,84 @@
 	"bramleytack"
 )
 
-// engine is what a term knows of one engine.
+// engine is the state of one engine within a term.
 type engine struct {
 	record *bramleytack.Upstream
 	// tried is set after the first attempt to read the engine.
-	tried  bool
+	tried bool
+	// missed counts the failed attempts since the last report.
 	missed int
 	report *bramleytack.LoadReport
-	// readAt is when the report was asked for.
-	readAt time.Time
+	// requestedAt is when the report was requested.
+	requestedAt time.Time
 	// figuresAt is the time that the report's figures describe, by the clock of
-	// this host and not later than the truth.
+	// this host. It may be too early, but never too late.
 	figuresAt time.Time
-	// drainingFrom is when the engine was first seen to take no new work.
-	drainingFrom time.Time
-	idleFrom     time.Time
-	last         attempt
+	// drainingSince is the time of the first report with the role RoleDraining,
+	// idleSince that of the first one after it without generations.
+	drainingSince time.Time
+	idleSince     time.Time
+	last          sentCommand
 }
 
-// attempt is the last order to an engine. The next order waits until notBefore
-// if it is the same one, and until the engine was read after the attempt.
-type attempt struct {
-	order     bramleytack.Command
-	at        time.Time
-	notBefore time.Time
-	err       error
+// sentCommand is the last command to an engine and its result. The next command
+// waits for a report from after this one. The same command also waits until
+// repeatFrom.
+type sentCommand struct {
+	command    bramleytack.Command
+	at         time.Time
+	repeatFrom time.Time
+	err        error
 }
 
-func sorted(list []*bramleytack.Upstream) []*bramleytack.Upstream {
+// sortByID sorts a list in place and returns it.
+func sortByID(list []*bramleytack.Upstream) []*bramleytack.Upstream {
 	slices.SortFunc(list, func(a, b *bramleytack.Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return list
 }
 
-// take records a report that was asked for at a time.
-func (e *engine) take(asked time.Time, r *bramleytack.LoadReport) {
+// setReport records a report and the time at which it was requested.
+func (e *engine) setReport(requestedAt time.Time, r *bramleytack.LoadReport) {
 	if e.report != nil && e.report.Instance != r.Instance {
-		e.drainingFrom, e.idleFrom, e.last = time.Time{}, time.Time{}, attempt{}
+		e.drainingSince, e.idleSince, e.last = time.Time{}, time.Time{}, sentCommand{}
 	}
 	e.report, e.missed, e.tried = r, 0, true
-	e.readAt, e.figuresAt = asked, asked.Add(-r.Age)
+	e.requestedAt, e.figuresAt = requestedAt, requestedAt.Add(-r.Age)
 	if r.Role != RoleDraining {
-		e.drainingFrom, e.idleFrom = time.Time{}, time.Time{}
+		e.drainingSince, e.idleSince = time.Time{}, time.Time{}
 		return
 	}
-	if e.drainingFrom.IsZero() {
-		e.drainingFrom = e.figuresAt
+	if e.drainingSince.IsZero() {
+		e.drainingSince = e.figuresAt
 	}
 	if inFlight(r) > 0 {
-		e.idleFrom = time.Time{}
+		e.idleSince = time.Time{}
 		return
 	}
-	if e.idleFrom.IsZero() {
-		e.idleFrom = e.figuresAt
+	if e.idleSince.IsZero() {
+		e.idleSince = e.figuresAt
 	}
 }
 
-// drained says whether the engine took no new work and was idle for a time.
-func (e *engine) drained(quiet time.Duration) bool {
-	return !e.idleFrom.IsZero() && e.figuresAt.Sub(e.idleFrom) >= quiet
+// drained reports whether the engine has been draining and idle for a time.
+func (e *engine) drained(idle time.Duration) bool {
+	return !e.idleSince.IsZero() && e.figuresAt.Sub(e.idleSince) >= idle
 }
 
-// answers says whether the engine counts as alive.
-func (e *engine) answers() bool { return e.report != nil && e.missed < missedLimit }
+// responsive reports whether the engine has a report and missed few since.
+func (e *engine) responsive() bool { return e.report != nil && e.missed < maxMissedReports }
 
-// readSince says whether the engine was read with success since a time.
+// readSince reports whether the last attempt to read the engine succeeded and was
+// made at the given time or later.
 func (e *engine) readSince(t time.Time) bool {
-	return e.report != nil && e.missed == 0 && !e.readAt.Before(t)
+	return e.report != nil && e.missed == 0 && !e.requestedAt.Before(t)
 }
 
-// read reads the engine's load report.
-func (c *Controller) read(ctx context.Context, e *engine) {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+// readEngine reads the engine's load report.
+func (c *Controller) readEngine(ctx context.Context, e *engine) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	asked := c.Timer.Now()
+	requestedAt := c.Timer.Now()
 	r, err := bramleytack.LoadOf(ctx, c.Upstreams, e.record)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,13 +96,14 @@
 		e.missed++
 		return
 	}
-	e.take(asked, &r)
+	e.setReport(requestedAt, &r)
 }
 
-// each calls f for the engines, some of them at a time.
-func each(list []*engine, f func(*engine)) {
+// forEachParallel calls f for each engine, with at most maxParallelCalls
+// concurrent calls, and waits for them.
+func forEachParallel(list []*engine, f func(*engine)) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, maxParallel)
+	slots := make(chan struct{}, maxParallelCalls)
 	for _, e := range list {
 		slots <- struct{}{}
 		wg.Go(func() {
--- a/btplace/event.go
+++ b/btplace/event.go
@@ -2,26 +2,26 @@
 
 import "bramleytack"
 
-// EventKind says what became of an order.
+// EventKind is the kind of a command's result.
 type EventKind int
 
 // The kinds of events.
 const (
-	// Sent says that the engine accepted the order.
+	// Sent means that the engine accepted the command.
 	Sent EventKind = iota
-	// Failed says that the engine refused the order or that its effect is
-	// unknown.
+	// Failed means that the command had no effect or an unknown one.
 	Failed
-	// Fenced says that the engine refused the order's fencing number.
+	// Fenced means that the engine rejected the command because of its fencing
+	// token.
 	Fenced
 )
 
 var eventKindNames = [...]string{"sent", "failed", "fenced"}
 
-// String returns the name of the kind.
+// String returns the name of the kind. It panics on an invalid kind.
 func (k EventKind) String() string { return eventKindNames[k] }
 
-// Event is the end of one order.
+// Event is the result of one command. Err is nil if Kind is Sent.
 type Event struct {
 	Kind     EventKind
 	Upstream bramleytack.UpstreamID
--- a/btplace/fleet_test.go
+++ b/btplace/fleet_test.go
@@ -17,45 +17,45 @@
 	"bramleytack/internal/btmemstore"
 )
 
-var errOldFence = errors.New("old fence")
+var errStaleFence = errors.New("stale fencing token")
 
-// effect is an order that reached an engine.
-type effect struct {
+// delivered is a command that reached an engine.
+type delivered struct {
 	at       time.Time
-	order    bramleytack.Command
+	command  bramleytack.Command
 	accepted bool
-	// inFlight is the number of generations on the engine.
+	// inFlight is the number of generations on the engine after the command.
 	inFlight int
 }
 
-// fleet is a set of simulated engines with their records. Its fields are
-// guarded by mu.
+// fleet is a set of simulated engines with their records.
 type fleet struct {
 	timer    *bttimer.Service
 	snapshot atomic.Pointer[bramleytack.Snapshot]
 
-	mu      sync.Mutex
-	cores   map[bramleytack.UpstreamID]*btengine.Core
-	effects map[bramleytack.UpstreamID][]effect
-	// lose is the number of orders whose answer is lost.
-	lose int
-	// drop is the number of orders that are lost.
-	drop int
-	// delay gives the time until an order takes effect.
-	delay func() time.Duration
-	// latency is the time until an order is written.
-	latency time.Duration
-	// calls is the number of orders that hosts began to send.
+	// mu guards the fields up to calls.
+	mu         sync.Mutex
+	cores      map[bramleytack.UpstreamID]*btengine.Core
+	deliveries map[bramleytack.UpstreamID][]delivered
+	// loseResponses is the number of next commands whose response is lost.
+	loseResponses int
+	// dropCommands is the number of next commands that are lost.
+	dropCommands int
+	// effectDelay returns the time from the write of a command until its effect.
+	effectDelay func() time.Duration
+	// writeDelay is the time until a command is written.
+	writeDelay time.Duration
+	// calls is the number of commands that controllers began to send.
 	calls int
 	wg    sync.WaitGroup
 }
 
-// newFleet starts engines that may hold the given models. The first third is in
-// the domain d0, the last in d2.
+// newFleet starts n engines that may hold the given models. They are split evenly
+// over the domains d0, d1 and d2 in the order of their ids.
 func newFleet(t *testing.T, n int, cfg btengine.Config, models ...bramleytack.Model) *fleet {
 	f := &fleet{
-		timer: bttimer.New(1), cores: map[bramleytack.UpstreamID]*btengine.Core{}, effects: map[bramleytack.UpstreamID][]effect{},
-		delay: func() time.Duration { return 0 },
+		timer: bttimer.New(1), cores: map[bramleytack.UpstreamID]*btengine.Core{}, deliveries: map[bramleytack.UpstreamID][]delivered{},
+		effectDelay: func() time.Duration { return 0 },
 	}
 	t.Cleanup(func() { f.wg.Wait(); f.timer.Close() })
 	s := newSnapshot(n, models...)
@@ -68,6 +68,7 @@
 	return f
 }
 
+// newSnapshot returns the records of a fleet.
 func newSnapshot(n int, models ...bramleytack.Model) *bramleytack.Snapshot {
 	s := &bramleytack.Snapshot{
 		Models:         map[string]*bramleytack.Model{},
@@ -98,8 +99,8 @@
 
 func (f *fleet) Snapshot() *bramleytack.Snapshot { return f.snapshot.Load() }
 
-// change replaces the snapshot by a copy with a change.
-func (f *fleet) change(c func(s *bramleytack.Snapshot)) {
+// updateSnapshot replaces the snapshot by a changed copy.
+func (f *fleet) updateSnapshot(change func(s *bramleytack.Snapshot)) {
 	s := *f.Snapshot()
 	models, domains := s.Models, s.FailureDomains
 	s.Models = map[string]*bramleytack.Model{}
@@ -112,29 +113,30 @@
 		d := *v
 		s.FailureDomains[k] = &d
 	}
-	c(&s)
+	change(&s)
 	f.snapshot.Store(&s)
 }
 
-func (f *fleet) version(model, v string) {
-	f.change(func(s *bramleytack.Snapshot) { s.Models[model].Version = v })
+func (f *fleet) setVersion(model, v string) {
+	f.updateSnapshot(func(s *bramleytack.Snapshot) { s.Models[model].Version = v })
 }
 
-func (f *fleet) domain(d bramleytack.FailureDomainID, st bramleytack.DomainState) {
-	f.change(func(s *bramleytack.Snapshot) { s.FailureDomains[d].State = st })
+func (f *fleet) setDomain(d bramleytack.FailureDomainID, st bramleytack.DomainState) {
+	f.updateSnapshot(func(s *bramleytack.Snapshot) { s.FailureDomains[d].State = st })
 }
 
-// with calls a function with an engine.
-func (f *fleet) with(id bramleytack.UpstreamID, do func(now time.Time, c *btengine.Core)) {
+// withEngine calls do with the current time and an engine, holding the lock.
+func (f *fleet) withEngine(id bramleytack.UpstreamID, do func(now time.Time, c *btengine.Core)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(f.timer.Now(), f.cores[id])
 }
 
-// placed returns the number of engines that hold exactly the given model.
-func (f *fleet) placed(m bramleytack.LoadedModel) (n int) {
+// countPlaced returns the number of serving engines that hold exactly the given
+// model.
+func (f *fleet) countPlaced(m bramleytack.LoadedModel) (n int) {
 	for id := range f.Snapshot().Upstreams {
-		f.with(id, func(now time.Time, c *btengine.Core) {
+		f.withEngine(id, func(now time.Time, c *btengine.Core) {
 			if r := c.Report(now); len(r.Models) == 1 && r.Models[0] == m && r.Role != RoleDraining {
 				n++
 			}
@@ -143,38 +145,38 @@
 	return n
 }
 
-// loads returns the times at which load orders reached engines.
-func (f *fleet) loads() (list []effect, ids []bramleytack.UpstreamID) {
+// loads returns the load commands that reached engines, and the engines' ids.
+func (f *fleet) loads() (list []delivered, ids []bramleytack.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, es := range f.effects {
-		for _, e := range es {
-			if e.order.Kind == bramleytack.CommandLoad {
-				list, ids = append(list, e), append(ids, id)
+	for id, commands := range f.deliveries {
+		for _, d := range commands {
+			if d.command.Kind == bramleytack.CommandLoad {
+				list, ids = append(list, d), append(ids, id)
 			}
 		}
 	}
 	return list, ids
 }
 
-func (f *fleet) sent() (n int) {
+func (f *fleet) countDelivered() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, es := range f.effects {
-		n += len(es)
+	for _, commands := range f.deliveries {
+		n += len(commands)
 	}
 	return n
 }
 
-// orders sets how many of the next orders lose their answer, the time until an
-// order is written and the time from then until it takes effect.
-func (f *fleet) orders(lose int, latency, delay time.Duration) {
+// setDelivery sets how many of the next commands lose their response, the time
+// until a command is written, and the time from then until it takes effect.
+func (f *fleet) setDelivery(loseResponses int, writeDelay, effectDelay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lose, f.latency, f.delay = lose, latency, func() time.Duration { return delay }
+	f.loseResponses, f.writeDelay, f.effectDelay = loseResponses, writeDelay, func() time.Duration { return effectDelay }
 }
 
-func (f *fleet) count() int {
+func (f *fleet) countCalls() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
@@ -212,81 +214,84 @@
 	}
 }
 
-// link is a host's access to the fleet.
-type link struct {
+// hostUpstreams implements bramleytack.Upstreams for one host. Its gate pauses the
+// calls of engines.
+type hostUpstreams struct {
 	*fleet
 	gate gate
 }
 
-func (l *link) Engine(u *bramleytack.Upstream) (bramleytack.Engine, error) {
-	return &conn{link: l, id: u.ID}, nil
+func (h *hostUpstreams) Engine(u *bramleytack.Upstream) (bramleytack.Engine, error) {
+	return &engineClient{upstreams: h, id: u.ID}, nil
 }
 
-func (l *link) Service(*bramleytack.Upstream) (bramleytack.Service, error) {
+func (h *hostUpstreams) Service(*bramleytack.Upstream) (bramleytack.Service, error) {
 	return nil, errors.New("no service")
 }
 
-type conn struct {
+// engineClient is one host's client of an engine.
+type engineClient struct {
 	bramleytack.Engine
-	link *link
-	id   bramleytack.UpstreamID
+	upstreams *hostUpstreams
+	id        bramleytack.UpstreamID
 }
 
-func (c *conn) Load(context.Context) (r bramleytack.LoadReport, err error) {
-	c.link.gate.wait()
-	c.link.with(c.id, func(now time.Time, e *btengine.Core) {
+func (c *engineClient) Load(context.Context) (r bramleytack.LoadReport, err error) {
+	c.upstreams.gate.wait()
+	c.upstreams.withEngine(c.id, func(now time.Time, e *btengine.Core) {
 		if r = e.Report(now); e.Dead() {
 			err = errors.New("dead")
 		}
 	})
-	c.link.gate.wait()
+	c.upstreams.gate.wait()
 	return r, err
 }
 
-// Command writes an order unless the deadline has passed. From then on the order
-// takes effect without regard to the caller.
-func (c *conn) Command(ctx context.Context, o bramleytack.Command) error {
-	f := c.link.fleet
+// Command writes a command unless the deadline has passed. A written command takes
+// effect even if the context ends.
+func (c *engineClient) Command(ctx context.Context, cmd bramleytack.Command) error {
+	f := c.upstreams.fleet
 	f.mu.Lock()
-	latency, delay, lost := f.latency, f.delay(), f.lose > 0
-	f.lose = max(f.lose-1, 0)
-	dropped := f.drop > 0
-	f.drop = max(f.drop-1, 0)
+	writeDelay, effectDelay, lost := f.writeDelay, f.effectDelay(), f.loseResponses > 0
+	f.loseResponses = max(f.loseResponses-1, 0)
+	dropped := f.dropCommands > 0
+	f.dropCommands = max(f.dropCommands-1, 0)
 	f.calls++
 	f.mu.Unlock()
-	_ = f.timer.Sleep(context.Background(), latency)
-	c.link.gate.wait()
+	_ = f.timer.Sleep(context.Background(), writeDelay)
+	c.upstreams.gate.wait()
 	if ctx.Err() != nil {
 		return bramleytack.NewError(bramleytack.CodeTimeout, bramleytack.NotRun, "not written")
 	}
 	var instance bramleytack.InstanceID
-	c.link.with(c.id, func(_ time.Time, e *btengine.Core) { instance = e.Instance() })
-	answer := make(chan error, 1)
+	c.upstreams.withEngine(c.id, func(_ time.Time, e *btengine.Core) { instance = e.Instance() })
+	response := make(chan error, 1)
 	f.wg.Go(func() {
-		_ = f.timer.Sleep(context.Background(), delay)
-		f.with(c.id, func(now time.Time, e *btengine.Core) {
+		_ = f.timer.Sleep(context.Background(), effectDelay)
+		f.withEngine(c.id, func(now time.Time, e *btengine.Core) {
 			if dropped || e.Instance() != instance {
 				return
 			}
-			err := e.Order(now, o)
-			f.effects[c.id] = append(f.effects[c.id], effect{now, o, err == nil, e.InFlight()})
+			err := e.Order(now, cmd)
+			f.deliveries[c.id] = append(f.deliveries[c.id], delivered{now, cmd, err == nil, e.InFlight()})
 			if !lost {
-				answer <- reply(err)
+				response <- clientError(err)
 			}
 		})
 	})
 	select {
-	case err := <-answer:
+	case err := <-response:
 		return err
 	case <-ctx.Done():
-		return bramleytack.NewError(bramleytack.CodeTimeout, bramleytack.Unknown, "no answer")
+		return bramleytack.NewError(bramleytack.CodeTimeout, bramleytack.Unknown, "no response")
 	}
 }
 
-func reply(err error) error {
-	var r btengine.Refusal
-	if errors.As(err, &r) && r.Reason == btengine.ReasonOldFence {
-		return errOldFence
+// clientError returns the error that an engine's client makes of an engine's error.
+func clientError(err error) error {
+	var refusal btengine.Refusal
+	if errors.As(err, &refusal) && refusal.Reason == btengine.ReasonOldFence {
+		return errStaleFence
 	}
 	if err != nil {
 		return bramleytack.NewError(bramleytack.CodeConflict, bramleytack.NotRun, "refused").WithCause(err)
@@ -294,55 +299,56 @@
 	return nil
 }
 
-// grant is a lease that a test gives and takes.
-type grant struct {
+// testLease is a lease whose fencing token and remaining time a test sets.
+type testLease struct {
 	mu    sync.Mutex
 	fence bramleytack.Fence
 	left  time.Duration
 }
 
-func (g *grant) Held() (bramleytack.Fence, time.Duration, bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.fence, g.left, g.left > 0
+func (l *testLease) Held() (bramleytack.Fence, time.Duration, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.fence, l.left, l.left > 0
 }
 
-func (g *grant) set(f bramleytack.Fence, left time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.fence, g.left = f, left
+func (l *testLease) set(f bramleytack.Fence, left time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fence, l.left = f, left
 }
 
-// start runs a controller until the test ends.
-func (f *fleet) start(t *testing.T, l *link, lease Lease, store bramleytack.Store, times Times, policy Policy) *Controller {
+// startController starts a controller that runs until the test ends.
+func (f *fleet) startController(t *testing.T, upstreams *hostUpstreams, lease Lease, store bramleytack.Store, times Times, policy Policy) *Controller {
 	c := &Controller{
-		Cell: "c", Lease: lease, Store: store, Timer: f.timer, Snapshots: f, Upstreams: l, Times: times, Policy: policy,
-		IsStaleFence: func(err error) bool { return errors.Is(err, errOldFence) },
+		Cell: "c", Lease: lease, Store: store, Timer: f.timer, Snapshots: f, Upstreams: upstreams, Times: times, Policy: policy,
+		IsStaleFence: func(err error) bool { return errors.Is(err, errStaleFence) },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
-		l.gate.resume()
+		upstreams.gate.resume()
 		wg.Wait()
 	})
 	return c
 }
 
-// gated is a store of a host that can be paused.
-type gated struct {
+// gatedStore is a client of a store whose calls can be paused. A pause ends neither
+// the wait nor the write.
+type gatedStore struct {
 	*btmemstore.Store
 	gate *gate
 }
 
-func (g *gated) Get(ctx context.Context, k bramleytack.Key) (bramleytack.Object, error) {
+func (g *gatedStore) Get(ctx context.Context, k bramleytack.Key) (bramleytack.Object, error) {
 	g.gate.wait()
 	defer g.gate.wait()
 	return g.Store.Get(ctx, k)
 }
 
-func (g *gated) Put(ctx context.Context, o bramleytack.Object, v bramleytack.Revision) (bramleytack.Revision, error) {
+func (g *gatedStore) Put(ctx context.Context, o bramleytack.Object, v bramleytack.Revision) (bramleytack.Revision, error) {
 	g.gate.wait()
 	defer g.gate.wait()
 	return g.Store.Put(context.WithoutCancel(ctx), o, v)
--- a/btplace/meter.go
+++ b/btplace/meter.go
@@ -7,53 +7,58 @@
 	"bramleytack"
 )
 
-// smoothing is the time constant of the demand.
-const smoothing = time.Minute
+// demandTimeConstant is the time constant of the exponential smoothing of rates.
+const demandTimeConstant = time.Minute
 
 // Meter estimates the demand and the capacity of models from load reports. The
-// zero value has seen nothing. It is not safe for concurrent use.
+// zero value has no data and is ready for use. A Meter is not safe for concurrent
+// use.
 type Meter struct {
-	engines map[bramleytack.UpstreamID]*metered
+	engines map[bramleytack.UpstreamID]*engineMeter
 }
 
-// metered is what the Meter knows of one engine.
-type metered struct {
-	instance bramleytack.InstanceID
-	model    string
-	at       time.Time
-	tokens   map[bramleytack.StreamID]int
-	// stream is the smoothed rate of one generation, rate that of the engine.
-	stream float64
-	rate   float64
-	limit  int
+// engineMeter has the estimates of one engine.
+type engineMeter struct {
+	instance  bramleytack.InstanceID
+	model     string
+	figuresAt time.Time
+	tokens    map[bramleytack.StreamID]int
+	// generationRate is the smoothed rate of one generation, rate that of the
+	// engine, both in tokens per second.
+	generationRate float64
+	rate           float64
+	warmLimit      int
 }
 
-// Report takes a load report of an engine that holds a model, with the time
-// that its figures describe. The generations that appear in two reports give
-// the rate of one generation; it counts for all that run and wait, so that a
-// generation that comes and goes between two reports is not lost.
-func (m *Meter) Report(u *bramleytack.Upstream, model string, at time.Time, r *bramleytack.LoadReport) {
+// Observe takes a load report of an engine that holds a model, with the time
+// that its figures describe. The generations that two consecutive reports list
+// give the rate of one generation. The engine's rate is this rate times the
+// number of running and waiting generations, so that generations which only one
+// report lists count too.
+func (m *Meter) Observe(u *bramleytack.Upstream, model string, at time.Time, r *bramleytack.LoadReport) {
 	if m.engines == nil {
-		m.engines = map[bramleytack.UpstreamID]*metered{}
+		m.engines = map[bramleytack.UpstreamID]*engineMeter{}
 	}
 	e := m.engines[u.ID]
 	if e == nil || e.instance != r.Instance || e.model != model {
-		e = &metered{instance: r.Instance, model: model, at: at}
+		e = &engineMeter{instance: r.Instance, model: model, figuresAt: at}
 		m.engines[u.ID] = e
 	}
-	e.limit = u.WarmLimit
-	d := at.Sub(e.at)
-	if d > 0 {
-		e.update(d, r)
+	e.warmLimit = u.WarmLimit
+	elapsed := at.Sub(e.figuresAt)
+	if elapsed > 0 {
+		e.update(elapsed, r)
 	}
-	e.at = at
+	e.figuresAt = at
 	e.tokens = map[bramleytack.StreamID]int{}
 	for _, g := range r.Generations {
 		e.tokens[g.Stream] = g.Tokens
 	}
 }
 
-func (e *metered) update(d time.Duration, r *bramleytack.LoadReport) {
+// update adds the figures of a report to the estimates, an elapsed time after the
+// previous report.
+func (e *engineMeter) update(elapsed time.Duration, r *bramleytack.LoadReport) {
 	produced, n := 0, 0
 	for _, g := range r.Generations {
 		if before, ok := e.tokens[g.Stream]; ok && g.Tokens > before {
@@ -61,18 +66,18 @@
 			n++
 		}
 	}
-	weight := 1 - math.Exp(-d.Seconds()/smoothing.Seconds())
+	weight := 1 - math.Exp(-elapsed.Seconds()/demandTimeConstant.Seconds())
 	if n > 0 {
-		stream := float64(produced) / float64(n) / d.Seconds()
-		if e.stream == 0 {
-			e.stream = stream
+		rate := float64(produced) / float64(n) / elapsed.Seconds()
+		if e.generationRate == 0 {
+			e.generationRate = rate
 		}
-		e.stream += weight * (stream - e.stream)
+		e.generationRate += weight * (rate - e.generationRate)
 	}
-	e.rate += weight * (e.stream*float64(inFlight(r)) - e.rate)
+	e.rate += weight * (e.generationRate*float64(inFlight(r)) - e.rate)
 }
 
-// Retain forgets the engines that are not listed.
+// Retain discards the data of engines that are not listed.
 func (m *Meter) Retain(engines []*bramleytack.Upstream) {
 	known := make(map[bramleytack.UpstreamID]bool, len(engines))
 	for _, u := range engines {
@@ -87,21 +92,22 @@
 
 // Demand returns the smoothed tokens per second of each model.
 func (m *Meter) Demand() map[string]float64 {
-	d := map[string]float64{}
+	demand := map[string]float64{}
 	for _, e := range m.engines {
-		d[e.model] += e.rate
+		demand[e.model] += e.rate
 	}
-	return d
+	return demand
 }
 
-// Capacity returns the tokens per second that one engine gives to a model: the
-// mean over its engines of the rate of a generation at the warm limit. It is an
-// upper bound while the engines run below that limit.
+// Capacity returns an estimate of the tokens per second that one engine can
+// produce for each model: the mean over the model's engines of the rate of one
+// generation times the warm limit. It is too high while the engines run fewer
+// generations, which decode faster. A model without a known rate is not listed.
 func (m *Meter) Capacity() map[string]float64 {
 	sum, n := map[string]float64{}, map[string]float64{}
 	for _, e := range m.engines {
-		if e.stream > 0 && e.limit > 0 {
-			sum[e.model] += e.stream * float64(e.limit)
+		if e.generationRate > 0 && e.warmLimit > 0 {
+			sum[e.model] += e.generationRate * float64(e.warmLimit)
 			n[e.model]++
 		}
 	}
--- a/btplace/plan.go
+++ b/btplace/plan.go
@@ -10,12 +10,14 @@
 
 // Policy are the settings of Plan. Zero fields take defaults.
 type Policy struct {
-	// MinCapacity is the share of a model's engines that stay in service during
-	// a change of version.
+	// MinCapacity is the fraction of a model's engines that stay in service
+	// during a change of version.
 	MinCapacity float64
-	// MaxReplace bounds the engines of a model that are replaced at a time.
+	// MaxReplace is the number of a model's engines that may change the version
+	// at the same time.
 	MaxReplace int
-	// Headroom is the factor from the demand to the capacity that is placed.
+	// Headroom is the factor by which the capacity for a model exceeds its
+	// demand.
 	Headroom float64
 }
 
@@ -33,75 +35,78 @@
 	return p
 }
 
-// Input is what Plan decides from.
+// Input has the arguments of Plan. Plan does not change what they refer to.
 type Input struct {
 	Snapshot *bramleytack.Snapshot
-	// Engines are the engines of the cell in the order of their ids.
+	// Engines are the engines of the cell, sorted by id.
 	Engines []*bramleytack.Upstream
-	// Reports has the engines that answer.
+	// Reports has the last load reports of the engines that respond.
 	Reports map[bramleytack.UpstreamID]*bramleytack.LoadReport
-	// Demand is the smoothed demand of each model, Capacity the capacity of
-	// one engine that holds it, in tokens per second. A model without a known
-	// capacity gets the engines that its record names.
+	// Demand is the smoothed demand of each model, Capacity the capacity of one
+	// engine that holds it, in tokens per second. For a model without a known
+	// capacity, commitments and demand need one engine.
 	Demand   map[string]float64
 	Capacity map[string]float64
 	Previous State
 	Policy   Policy
 }
 
-// Plan returns the desired state. Its fencing number is the caller's to set.
+// Plan returns the next desired state, without a fencing token.
 func Plan(in Input) State {
 	in.Policy = in.Policy.withDefaults()
 	p := &planner{Input: in}
 	p.state.Out, p.state.Returning = p.domains()
-	p.keep()
+	p.keepModels()
 	p.assign()
-	p.scatter()
+	p.spreadSingleDomain()
 	for _, m := range p.models() {
-		p.replace(m)
+		p.setVersion(m)
 	}
-	for i := range p.slots {
-		p.state.Engines = append(p.state.Engines, p.slots[i].Placement)
+	for i := range p.planned {
+		p.state.Engines = append(p.state.Engines, p.planned[i].Placement)
 	}
 	return p.state
 }
 
-// slot is an engine during the planning.
-type slot struct {
+// plannedEngine is an engine whose desired state is being planned.
+type plannedEngine struct {
 	Placement
 	record *bramleytack.Upstream
-	// report is nil for an engine that does not answer.
+	// report is nil for an engine that does not respond.
 	report *bramleytack.LoadReport
-	// accepts is set if the records let the engine take work, available if it
-	// answers as well.
+	// accepts is set if the engine may get new work by its records, available if
+	// it responds as well.
 	accepts   bool
 	available bool
+	// returning is set if the engine's failure domain is returning.
 	returning bool
-	previous  Placement
+	// previous is the engine's placement in the previous desired state.
+	previous Placement
 }
 
-func (s *slot) may(model string) bool { return slices.Contains(s.record.Models, model) }
+func (s *plannedEngine) mayHold(model string) bool { return slices.Contains(s.record.Models, model) }
 
-// serves says whether the engine takes work for a version of its model.
-func (s *slot) serves() bool {
-	return s.available && s.Role != RoleDraining && s.report.Role != RoleDraining && holds(s.report, s.Model)
+// inService reports whether the engine takes work for any version of its model.
+func (s *plannedEngine) inService() bool {
+	return s.available && s.Role != RoleDraining && s.report.Role != RoleDraining && holdsModel(s.report, s.Model)
 }
 
 type planner struct {
 	Input
-	state State
-	slots []slot
+	state   State
+	planned []plannedEngine
 }
 
-// domains returns the failure domains that are out and those that return.
+// domains returns the failure domains that are out of service and those that are
+// returning.
 func (p *planner) domains() (out, returning []bramleytack.FailureDomainID) {
 	for id, d := range p.Snapshot.FailureDomains {
 		if d.State == bramleytack.DomainOut {
 			out = append(out, id)
 			continue
 		}
-		back := slices.Contains(p.Previous.Out, id)
-		if back || slices.Contains(p.Previous.Returning, id) && !p.restored(id) {
+		returned := slices.Contains(p.Previous.Out, id)
+		if returned || slices.Contains(p.Previous.Returning, id) && !p.domainRestored(id) {
 			returning = append(returning, id)
 		}
 	}
@@ -110,8 +115,9 @@
 	return out, returning
 }
 
-// restored says whether all engines of a domain hold their models.
-func (p *planner) restored(id bramleytack.FailureDomainID) bool {
+// domainRestored reports whether all engines of a domain that accept work hold
+// the models of the previous desired state.
+func (p *planner) domainRestored(id bramleytack.FailureDomainID) bool {
 	for _, u := range p.Engines {
 		if u.FailureDomain != id || !p.Snapshot.Accepts(u.ID) {
 			continue
@@ -127,35 +133,39 @@
 	return true
 }
 
-// keep gives each engine the model that it had, or that it holds already.
-func (p *planner) keep() {
+// keepModels starts the plan with the model that each engine has.
+func (p *planner) keepModels() {
 	for _, u := range p.Engines {
-		s := slot{record: u, report: p.Reports[u.ID], accepts: p.Snapshot.Accepts(u.ID)}
+		s := plannedEngine{record: u, report: p.Reports[u.ID], accepts: p.Snapshot.Accepts(u.ID)}
 		s.available = s.accepts && s.report != nil
 		s.returning = slices.Contains(p.state.Returning, u.FailureDomain)
 		s.previous, _ = p.Previous.Placement(u.ID)
 		s.Upstream, s.Role = u.ID, RoleServing
-		s.Model = p.kept(&s)
-		p.slots = append(p.slots, s)
+		s.Model = p.keptModel(&s)
+		p.planned = append(p.planned, s)
 	}
 }
 
-func (p *planner) kept(s *slot) string {
-	if m := s.previous.Model; p.Snapshot.Models[m] != nil && s.may(m) {
+// keptModel returns the model of the previous desired state or, without one, a
+// model that the engine reports. It skips models that the records no longer allow
+// on the engine, and returns "" if none remains.
+func (p *planner) keptModel(s *plannedEngine) string {
+	if m := s.previous.Model; p.Snapshot.Models[m] != nil && s.mayHold(m) {
 		return m
 	}
 	if s.report == nil {
 		return ""
 	}
 	for _, m := range s.report.Models {
-		if p.Snapshot.Models[m.Model] != nil && s.may(m.Model) {
+		if p.Snapshot.Models[m.Model] != nil && s.mayHold(m.Model) {
 			return m.Model
 		}
 	}
 	return ""
 }
 
-// models returns the models, those with the largest commitments first.
+// models returns the models, sorted by committed throughput with the largest
+// first.
 func (p *planner) models() []*bramleytack.Model {
 	list := make([]*bramleytack.Model, 0, len(p.Snapshot.Models))
 	for _, m := range p.Snapshot.Models {
@@ -168,7 +178,7 @@
 	return list
 }
 
-// Committed returns the committed throughput of each model.
+// Committed returns the committed throughput of each model in tokens per second.
 func Committed(s *bramleytack.Snapshot) map[string]float64 {
 	sums := map[string]float64{}
 	for _, c := range s.Commitments {
@@ -177,39 +187,42 @@
 	return sums
 }
 
-// assign gives engines to the models that have too few, in three rounds.
+// assign gives engines to the models that have too few, in three rounds: for the
+// commitments, then also for the replicas of the records, then also for the
+// demand.
 func (p *planner) assign() {
 	committed, recorded, needed := map[string]int{}, map[string]int{}, map[string]int{}
 	rates := Committed(p.Snapshot)
 	for name, m := range p.Snapshot.Models {
-		committed[name] = p.engines(name, rates[name])
+		committed[name] = p.enginesNeeded(name, rates[name])
 		recorded[name] = max(committed[name], m.Replicas)
-		needed[name] = max(recorded[name], p.engines(name, p.Demand[name]*p.Policy.Headroom))
+		needed[name] = max(recorded[name], p.enginesNeeded(name, p.Demand[name]*p.Policy.Headroom))
 	}
 	for _, want := range []map[string]int{committed, recorded, needed} {
-		p.fill(want)
+		p.fillModels(want)
 	}
 }
 
-// engines returns the number of engines for a rate. A rate without a known
-// capacity needs one engine.
-func (p *planner) engines(model string, rate float64) int {
+// enginesNeeded returns the number of engines of a model that produce a rate of
+// tokens per second. It returns 1 if the capacity of an engine is not known.
+func (p *planner) enginesNeeded(model string, rate float64) int {
 	if rate <= 0 {
 		return 0
 	}
-	c := p.Capacity[model]
-	if c <= 0 {
+	capacity := p.Capacity[model]
+	if capacity <= 0 {
 		return 1
 	}
-	return int(math.Ceil(rate / c))
+	return int(math.Ceil(rate / capacity))
 }
 
-// fill gives engines to models until each has what it wants. No model loses an
-// engine that it wants itself.
-func (p *planner) fill(want map[string]int) {
+// fillModels gives engines to models until each has the wanted number or no
+// suitable engine is left. It takes engines only from models that have more than
+// they want.
+func (p *planner) fillModels(want map[string]int) {
 	for _, m := range p.models() {
-		for p.count(m.Name) < want[m.Name] {
-			s := p.pick(m.Name, want)
+		for p.countAvailable(m.Name) < want[m.Name] {
+			s := p.pickEngine(m.Name, want)
 			if s == nil {
 				break
 			}
@@ -218,61 +231,67 @@
 	}
 }
 
-// count returns the number of available engines of a model.
-func (p *planner) count(model string) (n int) {
-	for i := range p.slots {
-		if p.slots[i].available && p.slots[i].Model == model {
+// countAvailable returns the number of available engines of a model.
+func (p *planner) countAvailable(model string) (n int) {
+	for i := range p.planned {
+		if p.planned[i].available && p.planned[i].Model == model {
 			n++
 		}
 	}
 	return n
 }
 
-// pick returns the best engine to give to a model, or nil.
-func (p *planner) pick(model string, want map[string]int) *slot {
-	inDomain := p.perDomain(model)
-	var best *slot
-	for i := range p.slots {
-		s := &p.slots[i]
-		if !s.available || s.Model == model || !s.may(model) {
+// pickEngine returns the preferred engine to give to a model, or nil.
+func (p *planner) pickEngine(model string, want map[string]int) *plannedEngine {
+	inDomain := p.countPerDomain(model)
+	var best *plannedEngine
+	for i := range p.planned {
+		s := &p.planned[i]
+		if !s.available || s.Model == model || !s.mayHold(model) {
 			continue
 		}
-		if s.Model != "" && p.count(s.Model) <= want[s.Model] {
+		if s.Model != "" && p.countAvailable(s.Model) <= want[s.Model] {
 			continue
 		}
-		if best == nil || better(s, best, model, inDomain) {
+		if best == nil || preferred(s, best, model, inDomain) {
 			best = s
 		}
 	}
 	return best
 }
 
-func (p *planner) perDomain(model string) map[bramleytack.FailureDomainID]int {
+// countPerDomain returns the number of available engines of a model by failure
+// domain.
+func (p *planner) countPerDomain(model string) map[bramleytack.FailureDomainID]int {
 	n := map[bramleytack.FailureDomainID]int{}
-	for i := range p.slots {
-		if s := &p.slots[i]; s.available && s.Model == model {
+	for i := range p.planned {
+		if s := &p.planned[i]; s.available && s.Model == model {
 			n[s.record.FailureDomain]++
 		}
 	}
 	return n
 }
 
-func better(a, b *slot, model string, inDomain map[bramleytack.FailureDomainID]int) bool {
+// preferred reports whether engine a is a better choice for a model than b. It
+// prefers engines that need the least work to serve the model, then domains with
+// the fewest engines of the model, then returning domains, then idle engines.
+func preferred(a, b *plannedEngine, model string, inDomain map[bramleytack.FailureDomainID]int) bool {
 	return cmp.Or(
-		cmp.Compare(moves(a, model), moves(b, model)),
+		cmp.Compare(changeCost(a, model), changeCost(b, model)),
 		cmp.Compare(inDomain[a.record.FailureDomain], inDomain[b.record.FailureDomain]),
-		cmp.Compare(truth(b.returning), truth(a.returning)),
+		cmp.Compare(boolToInt(b.returning), boolToInt(a.returning)),
 		cmp.Compare(inFlight(a.report), inFlight(b.report)),
 	) < 0
 }
 
-// moves ranks an engine by the work to give it a model: nothing, a load, or a
-// drain, an unload and a load.
-func moves(s *slot, model string) int {
+// changeCost ranks an engine by the work that it takes to serve a model: nothing
+// if it holds the model, a load if it is empty, or a drain, an unload and a load.
+// Engines that the plan assigns to another model come last.
+func changeCost(s *plannedEngine, model string) int {
 	switch {
 	case s.Model != "":
 		return 3
-	case holds(s.report, model):
+	case holdsModel(s.report, model):
 		return 0
 	case len(s.report.Models) == 0:
 		return 1
@@ -281,24 +300,25 @@
 	}
 }
 
-func truth(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// scatter adds an engine without a model in another failure domain to each
-// model that has two or more engines in a single domain.
-func (p *planner) scatter() {
+// spreadSingleDomain gives an engine in another failure domain to each model that
+// has two or more engines, all in one domain. It uses only engines without a
+// model.
+func (p *planner) spreadSingleDomain() {
 	for _, m := range p.models() {
-		inDomain := p.perDomain(m.Name)
-		if len(inDomain) != 1 || p.count(m.Name) < 2 {
+		inDomain := p.countPerDomain(m.Name)
+		if len(inDomain) != 1 || p.countAvailable(m.Name) < 2 {
 			continue
 		}
-		for i := range p.slots {
-			s := &p.slots[i]
-			if s.available && s.Model == "" && s.may(m.Name) && inDomain[s.record.FailureDomain] == 0 {
+		for i := range p.planned {
+			s := &p.planned[i]
+			if s.available && s.Model == "" && s.mayHold(m.Name) && inDomain[s.record.FailureDomain] == 0 {
 				s.Model = m.Name
 				break
 			}
--- a/btplace/term.go
+++ b/btplace/term.go
@@ -13,45 +13,50 @@
 	"bramleytack"
 )
 
-// term is the work under one lease.
+// term is the state of a Controller under one lease.
 type term struct {
 	*Controller
 	fence bramleytack.Fence
-	// started is not earlier than the acquisition of the lease.
+	// started is when the controller first saw the lease, so never earlier than
+	// its acquisition.
 	started time.Time
-	// known is set while state and version are those of the store.
-	known   bool
+	// synced is set while state and version match the store. Any store error
+	// clears it, so that the next step reads the state again.
+	synced  bool
 	state   State
 	version bramleytack.Revision
 	engines []*engine
-	// next is the place in engines from which idle ones are read.
-	next int
-	// stepAt is the start of the current step.
-	stepAt   time.Time
-	meter    Meter
-	bucket   bucket
-	budgetAt time.Time
-	err      error
+	// nextIdle is the index in engines of the next engine to be read out of those
+	// in their desired state.
+	nextIdle int
+	// stepStart is the start of the current step.
+	stepStart    time.Time
+	meter        Meter
+	bucket       bucket
+	budgetReadAt time.Time
+	err          error
 }
 
 func newTerm(c *Controller, f bramleytack.Fence) *term {
 	return &term{Controller: c, fence: f, started: c.Timer.Now()}
 }
 
-func (t *term) key() bramleytack.Key { return bramleytack.Key{Kind: Kind, Name: string(t.Cell)} }
+func (t *term) key() bramleytack.Key { return bramleytack.Key{Kind: StateKind, Name: string(t.Cell)} }
 
-func (t *term) fail(err error) bool {
+// setError records the result of a store call and reports whether it succeeded.
+func (t *term) setError(err error) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.err = err
 	if err != nil {
-		t.known = false
+		t.synced = false
 	}
 	return err == nil
 }
 
-// read reads the desired state from the store.
-func (t *term) read(ctx context.Context) bool {
+// readState reads the desired state from the store. It reports whether the state
+// is known and no newer holder wrote it.
+func (t *term) readState(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	o, err := t.Store.Get(ctx, t.key())
@@ -63,35 +68,36 @@
 		err = errors.Wrap(json.Unmarshal(o.Data, &s), "btplace: decode the desired state")
 	}
 	if err == nil && s.Fence > t.fence {
-		err = errors.Newf("btplace: desired state has fencing number %d, newer than %d", s.Fence, t.fence)
+		err = errors.Newf("btplace: desired state has fencing token %d, newer than %d", s.Fence, t.fence)
 	}
-	if !t.fail(err) {
+	if !t.setError(err) {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.known, t.state, t.version = true, s, o.Version
+	t.synced, t.state, t.version = true, s, o.Version
 	if o.Version == 0 {
-		// No holder has ordered a load yet.
+		// No earlier holder has used tokens, so the bucket starts full.
 		t.bucket.tokens = DefaultBudget().Burst
 	}
 	return true
 }
 
-// write writes a new desired state. After an unknown effect the state is read
-// again before anything else is done.
-func (t *term) write(ctx context.Context, s State) bool {
+// writeState writes a new desired state and reports whether it is in the store. It
+// does nothing if the lease may end during the write. After a failure, which may
+// have an unknown effect, the next step reads the state again.
+func (t *term) writeState(ctx context.Context, s State) bool {
 	data, err := json.Marshal(s)
 	if err != nil {
-		return t.fail(errors.Wrap(err, "btplace: encode the desired state"))
+		return t.setError(errors.Wrap(err, "btplace: encode the desired state"))
 	}
-	if !t.holds(storeTimeout) {
+	if !t.leaseLasts(storeTimeout) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	v, err := t.Store.Put(ctx, bramleytack.Object{Key: t.key(), ChangeID: rand.Text(), Data: data}, t.version)
-	if !t.fail(errors.Wrap(err, "btplace: write the desired state")) {
+	if !t.setError(errors.Wrap(err, "btplace: write the desired state")) {
 		return false
 	}
 	t.mu.Lock()
@@ -100,29 +106,29 @@
 	return true
 }
 
-// confirm reads the desired state back: the store is up, and no other holder
-// has written.
-func (t *term) confirm(ctx context.Context) bool {
+// confirmState reads the desired state again and reports whether the store is up
+// and no other holder has written since.
+func (t *term) confirmState(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	o, err := t.Store.Get(ctx, t.key())
 	if err == nil && o.Version != t.version {
 		err = errors.Newf("btplace: desired state has version %d, not %d", o.Version, t.version)
 	}
-	return t.fail(errors.Wrap(err, "btplace: confirm the desired state"))
+	return t.setError(errors.Wrap(err, "btplace: confirm the desired state"))
 }
 
-// holds says whether the term's lease lasts for a time.
-func (t *term) holds(d time.Duration) bool {
+// leaseLasts reports whether the term's lease lasts for at least a time.
+func (t *term) leaseLasts(d time.Duration) bool {
 	fence, left, ok := t.Lease.Held()
 	return ok && fence == t.fence && left >= d
 }
 
-// readBudget reads the budget now and then. The last one stays in force while
-// the store does not answer.
+// readBudget reads the budget once per budgetPeriod. The last one stays in force
+// while the store does not respond.
 func (t *term) readBudget(ctx context.Context) {
 	now := t.Timer.Now()
-	if !t.budgetAt.IsZero() && now.Sub(t.budgetAt) < budgetPeriod {
+	if !t.budgetReadAt.IsZero() && now.Sub(t.budgetReadAt) < budgetPeriod {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -138,17 +144,18 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.budgetAt = now
-	t.bucket.set(now, b, t.Cell)
+	t.budgetReadAt = now
+	t.bucket.configure(now, b, t.Cell)
 }
 
-// follow brings the list of engines in line with the records.
-func (t *term) follow(list []*bramleytack.Upstream) {
+// setEngines replaces the list of engines by those of the records. It keeps the
+// state of an engine whose address did not change.
+func (t *term) setEngines(list []*bramleytack.Upstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	engines := make([]*engine, 0, len(list))
 	for _, u := range list {
-		e := t.find(u.ID)
+		e := t.engineByID(u.ID)
 		if e == nil || e.record.Addr != u.Addr {
 			e = &engine{}
 		}
@@ -159,7 +166,7 @@
 	t.meter.Retain(list)
 }
 
-func (t *term) find(id bramleytack.UpstreamID) *engine {
+func (t *term) engineByID(id bramleytack.UpstreamID) *engine {
 	for _, e := range t.engines {
 		if e.record.ID == id {
 			return e
@@ -168,29 +175,31 @@
 	return nil
 }
 
-// poll reads the engines that have work to do and some of the others.
-func (t *term) poll(ctx context.Context) {
-	t.stepAt = t.Timer.Now()
+// readEngines reads all engines that need attention and a few of the others in
+// turn.
+func (t *term) readEngines(ctx context.Context) {
+	t.stepStart = t.Timer.Now()
 	var list []*engine
-	idle := max(int(t.Times.Period.Seconds()*readsPerSecond), 1)
-	start, n := t.next, len(t.engines)
+	idle := max(int(t.Times.Period.Seconds()*idleReadsPerSecond), 1)
+	start, n := t.nextIdle, len(t.engines)
 	for i := range n {
 		k := (start + i) % n
 		switch e := t.engines[k]; {
-		case t.busy(e):
+		case t.needsAttention(e):
 			list = append(list, e)
 		case idle > 0:
 			list = append(list, e)
 			idle--
-			t.next = k + 1
+			t.nextIdle = k + 1
 		}
 	}
-	each(list, func(e *engine) { t.Controller.read(ctx, e) })
-	t.measure(list)
+	forEachParallel(list, func(e *engine) { t.Controller.readEngine(ctx, e) })
+	t.updateMeter(list)
 }
 
-// busy says whether an engine is not yet as desired or does not answer.
-func (t *term) busy(e *engine) bool {
+// needsAttention reports whether an engine that was read before missed its last
+// report or is not in its desired state.
+func (t *term) needsAttention(e *engine) bool {
 	if !e.tried || e.report == nil {
 		return false
 	}
@@ -204,17 +213,19 @@
 	return p.Role != RoleServing || e.report.Role == RoleDraining || !slices.Contains(e.report.Models, p.LoadedModel)
 }
 
-func (t *term) measure(list []*engine) {
+// updateMeter passes new reports of engines with a model to the meter.
+func (t *term) updateMeter(list []*engine) {
 	for _, e := range list {
 		p, ok := t.state.Placement(e.record.ID)
-		if ok && p.Model != "" && e.answers() && e.missed == 0 {
-			t.meter.Report(e.record, p.Model, e.figuresAt, e.report)
+		if ok && p.Model != "" && e.responsive() && e.missed == 0 {
+			t.meter.Observe(e.record, p.Model, e.figuresAt, e.report)
 		}
 	}
 }
 
-// complete says whether each engine was read or tried in this term.
-func (t *term) complete() bool {
+// allRead reports whether at least one attempt to read each engine was made in
+// this term.
+func (t *term) allRead() bool {
 	return !slices.ContainsFunc(t.engines, func(e *engine) bool { return !e.tried })
 }
 
@@ -225,7 +236,7 @@
 	}
 	for _, e := range t.engines {
 		in.Engines = append(in.Engines, e.record)
-		if e.answers() {
+		if e.responsive() {
 			in.Reports[e.record.ID] = e.report
 		}
 	}
@@ -234,129 +245,134 @@
 	return s
 }
 
-// pending is an order that is due.
-type pending struct {
-	engine *engine
-	order  bramleytack.Command
-	// rank puts returning domains first, then larger commitments.
+// dueCommand is a command that may be sent now.
+type dueCommand struct {
+	engine  *engine
+	command bramleytack.Command
+	// Commands for returning domains come first, then those for models with
+	// larger commitments.
 	returning bool
 	committed float64
 }
 
-// order sends the orders that are due.
-func (t *term) order(ctx context.Context) {
+// sendDue sends the commands that are due. Loads without a token wait for a later
+// step.
+func (t *term) sendDue(ctx context.Context) {
 	due := t.due()
-	if len(due) == 0 || !t.confirm(ctx) {
+	if len(due) == 0 || !t.confirmState(ctx) {
 		return
 	}
 	var list []*engine
-	orders := map[*engine]bramleytack.Command{}
-	for _, p := range due {
-		if p.order.Kind == bramleytack.CommandLoad && !t.allowLoad() {
+	commands := map[*engine]bramleytack.Command{}
+	for _, d := range due {
+		if d.command.Kind == bramleytack.CommandLoad && !t.takeLoadToken() {
 			continue
 		}
-		list = append(list, p.engine)
-		orders[p.engine] = p.order
+		list = append(list, d.engine)
+		commands[d.engine] = d.command
 	}
-	each(list, func(e *engine) { t.send(ctx, e, orders[e]) })
+	forEachParallel(list, func(e *engine) { t.send(ctx, e, commands[e]) })
 }
 
-func (t *term) allowLoad() bool {
+func (t *term) takeLoadToken() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.bucket.take(t.Timer.Now())
 }
 
-// due returns the orders that may be sent now, the most urgent first.
-func (t *term) due() []pending {
+// due returns the commands that may be sent now, the most urgent first.
+func (t *term) due() []dueCommand {
 	s := t.Snapshots.Snapshot()
 	committed := Committed(s)
 	now := t.Timer.Now()
-	var list []pending
+	var list []dueCommand
 	for _, e := range t.engines {
 		p, ok := t.state.Placement(e.record.ID)
-		if !ok || !s.Accepts(e.record.ID) || !e.readSince(t.stepAt) || !t.settled(e) {
+		if !ok || !s.Accepts(e.record.ID) || !e.readSince(t.stepStart) || !t.earlierCommandsExcluded(e) {
 			continue
 		}
-		o, ok := Next(p, e.report, e.drained(t.Times.DrainQuiet))
-		if !ok || !e.ready(now, o) {
+		cmd, ok := NextCommand(p, e.report, e.drained(t.Times.DrainIdle))
+		if !ok || !e.maySend(now, cmd) {
 			continue
 		}
-		o.Fence = t.fence
-		list = append(list, pending{
-			engine: e, order: o, committed: committed[p.Model],
+		cmd.Fence = t.fence
+		list = append(list, dueCommand{
+			engine: e, command: cmd, committed: committed[p.Model],
 			returning: slices.Contains(t.state.Returning, e.record.FailureDomain),
 		})
 	}
-	slices.SortStableFunc(list, func(a, b pending) int {
-		return cmp.Or(cmp.Compare(truth(b.returning), truth(a.returning)), cmp.Compare(b.committed, a.committed))
+	slices.SortStableFunc(list, func(a, b dueCommand) int {
+		return cmp.Or(cmp.Compare(boolToInt(b.returning), boolToInt(a.returning)), cmp.Compare(b.committed, a.committed))
 	})
 	return list
 }
 
-// settled says whether no order of an earlier holder can take effect on the
-// engine after an order of this one, and whether the report is from after the
-// last such effect.
-func (t *term) settled(e *engine) bool {
+// earlierCommandsExcluded reports whether no command of an earlier holder can take
+// effect on the engine after a command of this one. An engine that checks fencing
+// tokens and has seen one rejects such commands itself. For any other engine, the
+// report must be from after the last time at which they can take effect.
+func (t *term) earlierCommandsExcluded(e *engine) bool {
 	if e.record.ChecksFence && e.report.Fence > 0 {
 		return true
 	}
-	return !e.figuresAt.Before(t.started.Add(t.Times.longest()))
+	return !e.figuresAt.Before(t.started.Add(t.Times.maxCommandDelay()))
 }
 
-// ready says whether the report is from after the last order, and whether the order may
-// be repeated if it is the same.
-func (e *engine) ready(now time.Time, o bramleytack.Command) bool {
+// maySend reports whether a command may be sent after the last one. The report
+// must be from after the last command, and the same command is repeated only
+// from the time repeatFrom.
+func (e *engine) maySend(now time.Time, cmd bramleytack.Command) bool {
 	if e.last.at.IsZero() {
 		return true
 	}
 	if !e.figuresAt.After(e.last.at) {
 		return false
 	}
-	same := e.last.order
-	same.Fence = o.Fence
-	return same != o || !now.Before(e.last.notBefore)
+	same := e.last.command
+	same.Fence = cmd.Fence
+	return same != cmd || !now.Before(e.last.repeatFrom)
 }
 
-// send sends one order. The lease is checked after all other preparations, and
-// the deadline counts from before the check.
-func (t *term) send(ctx context.Context, e *engine, o bramleytack.Command) {
-	x, err := t.Upstreams.Engine(e.record)
+// send sends one command. The lease is checked after all other preparations. The
+// deadline is set before the check, so that a pause in between shortens the time
+// to write the command.
+func (t *term) send(ctx context.Context, e *engine, cmd bramleytack.Command) {
+	client, err := t.Upstreams.Engine(e.record)
 	if err != nil {
-		t.sent(e, o, t.Timer.Now(), bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "no engine").WithCause(err))
+		t.recordResult(e, cmd, t.Timer.Now(), bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "no engine").WithCause(err))
 		return
 	}
 	start := t.Timer.Now()
-	ctx, cancel := context.WithDeadline(ctx, start.Add(t.Times.OrderTimeout))
+	ctx, cancel := context.WithDeadline(ctx, start.Add(t.Times.CommandTimeout))
 	defer cancel()
-	if !t.holds(t.Times.lease()) {
+	if !t.leaseLasts(t.Times.minLease()) {
 		return
 	}
-	t.sent(e, o, start, x.Command(ctx, o))
+	t.recordResult(e, cmd, start, client.Command(ctx, cmd))
 }
 
-// sent records the end of an order.
-func (t *term) sent(e *engine, o bramleytack.Command, start time.Time, err error) {
-	ev := Event{Kind: Sent, Upstream: e.record.ID, Command: o, Err: err}
+// recordResult records the result of a command and when it may be repeated.
+func (t *term) recordResult(e *engine, cmd bramleytack.Command, start time.Time, err error) {
+	ev := Event{Kind: Sent, Upstream: e.record.ID, Command: cmd, Err: err}
 	now := t.Timer.Now()
-	a := attempt{order: o, at: now, err: err}
+	sent := sentCommand{command: cmd, at: now, err: err}
 	switch {
-	case err == nil && o.Kind == bramleytack.CommandLoad:
-		a.notBefore = now.Add(t.Times.LoadTimeout)
+	case err == nil && cmd.Kind == bramleytack.CommandLoad:
+		sent.repeatFrom = now.Add(t.Times.LoadTimeout)
 	case err == nil || bramleytack.OutcomeOf(err) != bramleytack.NotRun:
-		a.notBefore = start.Add(t.Times.longest())
+		sent.repeatFrom = start.Add(t.Times.maxCommandDelay())
 	default:
-		a.notBefore = now.Add(t.Times.Refused)
+		sent.repeatFrom = now.Add(t.Times.RetryDelay)
 	}
 	if err != nil {
 		ev.Kind = Failed
 	}
 	if err != nil && t.IsStaleFence != nil && t.IsStaleFence(err) {
 		ev.Kind = Fenced
-		a.notBefore = now.Add(t.Times.Refused)
+		sent.repeatFrom = now.Add(t.Times.RetryDelay)
 	}
 	t.mu.Lock()
-	e.last = a
+	e.last = sent
 	t.mu.Unlock()
 	t.notify(ev)
 }
--- a/btplace/version_test.go
+++ b/btplace/version_test.go
@@ -18,7 +18,7 @@
 	"bramleytack/internal/btmemstore"
 )
 
-// discard is a Reply that keeps nothing.
+// discard is a ResponseWriter that discards the response.
 type discard struct{}
 
 func (discard) Open(bramleytack.Opening) error      { return nil }
@@ -26,8 +26,9 @@
 func (discard) Close(bramleytack.Completion) error  { return nil }
 func (discard) Respond(*bramleytack.Response) error { return nil }
 
-// traffic sends requests by the path of an entry: routing by confirmed
-// versions, a reservation with the owner, the engine.
+// traffic sends requests as an entry daemon does: it chooses an engine that is
+// known to hold the version, reserves capacity with the owner and runs the
+// request on the engine.
 type traffic struct {
 	*fleet
 	t       *testing.T
@@ -35,15 +36,17 @@
 	loads   btroute.Loads
 	running sync.WaitGroup
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// versions counts the completed requests by version.
 	versions map[string]int
 	failed   []error
 }
 
-// probe takes the reports as the daemons do.
-func (x *traffic) probe() {
+// readReports passes the engines' load reports to the owner and its digests to the
+// route filter, as daemons do.
+func (x *traffic) readReports() {
 	for id := range x.Snapshot().Upstreams {
-		x.with(id, func(now time.Time, c *btengine.Core) {
+		x.withEngine(id, func(now time.Time, c *btengine.Core) {
 			r := c.Report(now)
 			r.Leaving = r.Role == RoleDraining
 			x.table.Report(id, r)
@@ -54,11 +57,11 @@
 	}
 }
 
-// Handle runs a request on its engine to the end.
+// Handle runs a request on its target engine until the generation ends.
 func (x *traffic) Handle(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 	var stream bramleytack.StreamID
 	var err error
-	x.with(r.Target.Upstream.ID, func(now time.Time, c *btengine.Core) {
+	x.withEngine(r.Target.Upstream.ID, func(now time.Time, c *btengine.Core) {
 		stream, err = c.Submit(now, bramleytack.GenerationRequest{ID: r.AttemptID(), Model: "m", Version: r.Target.Version, Prompt: r.Prompt})
 	})
 	if err != nil {
@@ -66,7 +69,7 @@
 	}
 	for done := false; !done; {
 		time.Sleep(50 * time.Millisecond)
-		x.with(r.Target.Upstream.ID, func(now time.Time, c *btengine.Core) {
+		x.withEngine(r.Target.Upstream.ID, func(now time.Time, c *btengine.Core) {
 			p, ok := c.Generation(now, stream)
 			if done = p.Finish != btengine.FinishNone; !ok || done && p.Finish.String() != "stop" {
 				done, err = true, errors.Newf("generation ended by %q", p.Finish)
@@ -79,6 +82,7 @@
 	return err
 }
 
+// send routes and runs one request, and records its error.
 func (x *traffic) send(f *btroute.Filter, n int) {
 	r := &bramleytack.Request{
 		ID: bramleytack.RequestID(fmt.Sprint("r", n)), Kind: bramleytack.Generate, Model: "m", Workspace: "w", Prompt: "[[tokens=300]]", MaxTokens: 400,
@@ -96,55 +100,56 @@
 func TestVersionUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := btengine.DefaultConfig()
-		cfg.Models, cfg.ChecksFence, cfg.MaxModels = []bramleytack.LoadedModel{loaded("m", "1")}, true, 1
+		cfg.Models, cfg.ChecksFence, cfg.MaxModels = []bramleytack.LoadedModel{loadedModel("m", "1")}, true, 1
 		x := &traffic{
 			fleet: newFleet(t, 8, cfg, bramleytack.Model{Name: "m", Version: "1", Replicas: 8}), t: t, versions: map[string]int{},
 		}
 		x.table = btowner.NewTable(btowner.Config{}, x.timer)
 		for id, u := range x.Snapshot().Upstreams {
 			x.table.Own(u)
-			x.with(id, func(now time.Time, c *btengine.Core) { x.table.Report(id, c.Report(now)) })
+			x.withEngine(id, func(now time.Time, c *btengine.Core) { x.table.Report(id, c.Report(now)) })
 		}
 		filter := &btroute.Filter{
 			Entry: "h", Snapshots: x, Owner: x.table, Timer: x.timer, Loads: &x.loads, Models: &x.loads, AllowOtherVersions: true,
 			Policy: &btroute.Scored{Prefixes: &btroute.Prefixes{}}, Retry: &btroute.Backoff{Timer: x.timer},
 		}
-		x.start(t, &link{fleet: x.fleet}, &grant{fence: 1, left: held}, btmemstore.New(), Times{}, Policy{})
-		least := 8
+		x.startController(t, &hostUpstreams{fleet: x.fleet}, &testLease{fence: 1, left: leaseLeft}, btmemstore.New(), Times{}, Policy{})
+		minServing := 8
 		for n := range 2400 {
 			if n == 200 {
-				x.version("m", "2")
+				x.setVersion("m", "2")
 			}
 			if n%5 == 0 {
-				x.probe()
-				least = min(least, x.serving())
+				x.readReports()
+				minServing = min(minServing, x.countServing())
 			}
 			x.running.Go(func() { x.send(filter, n) })
 			time.Sleep(100 * time.Millisecond)
 		}
 		x.running.Wait()
 		assert.Equal(t, len(x.failed), 0, "%v", x.failed)
-		assert.Equal(t, x.placed(loaded("m", "2")), 8)
-		assert.Assert(t, least >= 6, "%d of 8 engines in service", least)
+		assert.Equal(t, x.countPlaced(loadedModel("m", "2")), 8)
+		assert.Assert(t, minServing >= 6, "%d of 8 engines in service", minServing)
 		assert.Assert(t, x.versions["1"] > 200 && x.versions["2"] > 200, "%v", x.versions)
-		refused := 0
+		rejected := 0
 		for id := range x.Snapshot().Upstreams {
-			x.with(id, func(_ time.Time, c *btengine.Core) { refused += c.Stats().Refused })
+			x.withEngine(id, func(_ time.Time, c *btengine.Core) { rejected += c.Stats().Refused })
 		}
-		for id, es := range x.effects {
-			for _, e := range es {
-				assert.Assert(t, e.order.Kind != bramleytack.CommandUnload || e.inFlight == 0, "%s unloads with %d generations", id, e.inFlight)
+		for id, commands := range x.deliveries {
+			for _, d := range commands {
+				assert.Assert(t, d.command.Kind != bramleytack.CommandUnload || d.inFlight == 0, "%s unloads with %d generations", id, d.inFlight)
 			}
 		}
-		assert.Equal(t, refused, 0, "requests for a version that the engine does not hold")
+		assert.Equal(t, rejected, 0, "requests for a version that the engine does not hold")
 	})
 }
 
-// serving returns the number of engines that take work.
-func (x *traffic) serving() (n int) {
+// countServing returns the number of engines that hold the model and are not
+// draining.
+func (x *traffic) countServing() (n int) {
 	for id := range x.Snapshot().Upstreams {
-		x.with(id, func(now time.Time, c *btengine.Core) {
-			if r := c.Report(now); r.Role != RoleDraining && holds(&r, "m") {
+		x.withEngine(id, func(now time.Time, c *btengine.Core) {
+			if r := c.Report(now); r.Role != RoleDraining && holdsModel(&r, "m") {
 				n++
 			}
 		})
