--- a/btdispatch/dispatcher.go
+++ b/btdispatch/dispatcher.go
@@ -11,22 +11,24 @@
 	"bramleytack/btupstream"
 )
 
-// tokenLifetime is how long a generation can be resumed after its deadline.
+// tokenLifetime is how long a generation token is valid after the request's
+// deadline.
 const tokenLifetime = 10 * time.Minute
 
-// Dispatcher implements bramleytack.Handler.
+// Dispatcher implements bramleytack.Handler. It may be used concurrently; its
+// fields must not be changed after the first request.
 type Dispatcher struct {
 	Snapshots bramleytack.Snapshots
 	Upstreams bramleytack.Upstreams
 	Tokens    bramleytack.GenerationTokens
 	Timer     bramleytack.Timer
-	// Isolated says that the process reaches neither the store nor a peer. It
-	// may be nil.
+	// Isolated reports whether the daemon reaches neither the store nor a peer.
+	// While it does, requests are rejected. It may be nil.
 	Isolated func() bool
 }
 
-// Handle runs the request on its target, or on the upstream of its generation
-// token.
+// Handle sends the request to its target, or to the upstream of its generation
+// token, and writes the response.
 func (d *Dispatcher) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	switch r.Kind {
 	case bramleytack.Generate:
@@ -42,8 +44,9 @@
 	}
 }
 
-// check makes the checks at the point of use.
-func (d *Dispatcher) check(r *bramleytack.Request) error {
+// checkTarget reports an error if the target upstream may not get the request now.
+// It must be called directly before the request is sent.
+func (d *Dispatcher) checkTarget(r *bramleytack.Request) error {
 	t := r.Target
 	switch {
 	case t.Upstream == nil:
@@ -62,9 +65,9 @@
 func (d *Dispatcher) generate(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	engine, err := d.Upstreams.Engine(r.Target.Upstream)
 	if err != nil {
-		return bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "upstream is no engine").WithCause(err)
+		return bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "upstream is not an engine").WithCause(err)
 	}
-	if err := d.check(r); err != nil {
+	if err := d.checkTarget(r); err != nil {
 		return err
 	}
 	stream, err := engine.Start(ctx, bramleytack.GenerationRequest{
@@ -80,12 +83,12 @@
 	if err != nil {
 		return err
 	}
-	relay := d.relay(engine, r, r.Target.Upstream.ID, r.Target.Grant.Instance, r.Target.Version)
+	relay := d.newRelay(engine, r, r.Target.Upstream.ID, r.Target.Grant.Instance, r.Target.Version)
 	return relay.Run(ctx, stream, w)
 }
 
 func (d *Dispatcher) resume(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
-	ref, engine, err := d.find(ctx, r)
+	ref, engine, err := d.findGeneration(ctx, r)
 	if err != nil {
 		return err
 	}
@@ -97,13 +100,13 @@
 		return err
 	}
 	r.Model = ref.Model
-	relay := d.relay(engine, r, ref.Upstream, ref.Instance, ref.Version)
+	relay := d.newRelay(engine, r, ref.Upstream, ref.Instance, ref.Version)
 	relay.FirstIndex = r.From
 	return relay.Run(ctx, stream, w)
 }
 
 func (d *Dispatcher) cancel(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
-	ref, engine, err := d.find(ctx, r)
+	ref, engine, err := d.findGeneration(ctx, r)
 	if err != nil {
 		return err
 	}
@@ -116,9 +119,9 @@
 func (d *Dispatcher) call(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 	service, err := d.Upstreams.Service(r.Target.Upstream)
 	if err != nil {
-		return bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "upstream is no plain service").WithCause(err)
+		return bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "upstream is not a plain service").WithCause(err)
 	}
-	if err := d.check(r); err != nil {
+	if err := d.checkTarget(r); err != nil {
 		return err
 	}
 	resp, err := service.Call(ctx, bramleytack.ServiceCall{
@@ -133,9 +136,9 @@
 	return w.Respond(resp)
 }
 
-// find returns the generation that the request's token names. Its upstream may
-// be leaving: running generations go on.
-func (d *Dispatcher) find(ctx context.Context, r *bramleytack.Request) (bramleytack.GenerationRef, bramleytack.Engine, error) {
+// findGeneration returns the generation that the request's token refers to and its
+// engine. The upstream may be leaving, since running generations continue.
+func (d *Dispatcher) findGeneration(ctx context.Context, r *bramleytack.Request) (bramleytack.GenerationRef, bramleytack.Engine, error) {
 	ref, err := d.Tokens.Open(ctx, r.GenerationToken, r.Workspace)
 	if err != nil {
 		return ref, nil, err
@@ -146,12 +149,13 @@
 	}
 	engine, err := d.Upstreams.Engine(u)
 	if err != nil {
-		return ref, nil, bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "upstream is no engine").WithCause(err)
+		return ref, nil, bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "upstream is not an engine").WithCause(err)
 	}
 	return ref, engine, nil
 }
 
-func (d *Dispatcher) relay(
+// newRelay returns a relay for a generation of the given upstream instance.
+func (d *Dispatcher) newRelay(
 	engine bramleytack.Engine, r *bramleytack.Request, id bramleytack.UpstreamID, instance bramleytack.InstanceID, version string,
 ) *btrelay.Relay {
 	ref := bramleytack.GenerationRef{
--- a/btplace/controller.go
+++ b/btplace/controller.go
@@ -71,7 +71,7 @@
 	storeTimeout = 2 * time.Second
 	// reportTimeout limits the reading of one load report.
 	reportTimeout = time.Second
-	// maxParallelCalls limits the concurrent calls of engines.
+	// maxParallelCalls limits the concurrent calls to engines.
 	maxParallelCalls = 16
 	// idleReadsPerSecond limits the rate at which engines in their desired state
 	// are read, since a report with many generations has several kilobytes.
@@ -81,7 +81,7 @@
 	maxMissedReports = 3
 	// budgetPeriod is how often the budget is read.
 	budgetPeriod = time.Minute
-	// jitterDivisor divides the period to give the random variation of steps.
+	// jitterDivisor divides the period to get the random variation of steps.
 	jitterDivisor = 5
 )
 
--- a/btplace/plan.go
+++ b/btplace/plan.go
@@ -274,7 +274,8 @@
 
 // preferred reports whether engine a is a better choice for a model than b. It
 // prefers engines that need the least work to serve the model, then domains with
-// the fewest engines of the model, then returning domains, then idle engines.
+// the fewest engines of the model, then returning domains, then engines with the
+// fewest generations.
 func preferred(a, b *plannedEngine, model string, inDomain map[bramleytack.FailureDomainID]int) bool {
 	return cmp.Or(
 		cmp.Compare(changeCost(a, model), changeCost(b, model)),
