--- a/btplace/dump.go
+++ b/btplace/dump.go
@@ -18,8 +18,7 @@
 	Version bramleytack.Revision `json:"version,omitempty"`
 	// Desired is the state that was last read from the store or written to it.
 	Desired State `json:"desired"`
-	// Tokens is the number of loads that the token bucket allowed when it was
-	// last refilled.
+	// Tokens is the content of the token bucket for loads when it was last used.
 	Tokens  float64      `json:"loadTokens"`
 	Error   string       `json:"error,omitempty"`
 	Engines []EngineDump `json:"engines,omitempty"`
--- a/btplace/engine.go
+++ b/btplace/engine.go
@@ -23,8 +23,9 @@
 	// figuresAt is the time that the report's figures describe, by the clock of
 	// this host. It may be too early, but never too late.
 	figuresAt time.Time
-	// drainingSince is the time of the first report with the role RoleDraining,
-	// idleSince that of the first one after it without generations.
+	// drainingSince is the time from which on reports have the role RoleDraining.
+	// idleSince is the time from which on they also list no generations. Both are
+	// zero if the last report does not.
 	drainingSince time.Time
 	idleSince     time.Time
 	last          sentCommand
@@ -74,7 +75,8 @@
 	return !e.idleSince.IsZero() && e.figuresAt.Sub(e.idleSince) >= idle
 }
 
-// responsive reports whether the engine has a report and missed few since.
+// responsive reports whether the engine has been read and has missed fewer than
+// maxMissedReports reports since.
 func (e *engine) responsive() bool { return e.report != nil && e.missed < maxMissedReports }
 
 // readSince reports whether the last attempt to read the engine succeeded and was
--- a/btplace/plan.go
+++ b/btplace/plan.go
@@ -84,11 +84,11 @@
 	previous Placement
 }
 
-func (s *plannedEngine) mayHold(model string) bool { return slices.Contains(s.record.Models, model) }
+func (e *plannedEngine) mayHold(model string) bool { return slices.Contains(e.record.Models, model) }
 
 // inService reports whether the engine takes work for any version of its model.
-func (s *plannedEngine) inService() bool {
-	return s.available && s.Role != RoleDraining && s.report.Role != RoleDraining && holdsModel(s.report, s.Model)
+func (e *plannedEngine) inService() bool {
+	return e.available && e.Role != RoleDraining && e.report.Role != RoleDraining && holdsModel(e.report, e.Model)
 }
 
 type planner struct {
@@ -136,28 +136,28 @@
 // keepModels starts the plan with the model that each engine has.
 func (p *planner) keepModels() {
 	for _, u := range p.Engines {
-		s := plannedEngine{record: u, report: p.Reports[u.ID], accepts: p.Snapshot.Accepts(u.ID)}
-		s.available = s.accepts && s.report != nil
-		s.returning = slices.Contains(p.state.Returning, u.FailureDomain)
-		s.previous, _ = p.Previous.Placement(u.ID)
-		s.Upstream, s.Role = u.ID, RoleServing
-		s.Model = p.keptModel(&s)
-		p.planned = append(p.planned, s)
+		e := plannedEngine{record: u, report: p.Reports[u.ID], accepts: p.Snapshot.Accepts(u.ID)}
+		e.available = e.accepts && e.report != nil
+		e.returning = slices.Contains(p.state.Returning, u.FailureDomain)
+		e.previous, _ = p.Previous.Placement(u.ID)
+		e.Upstream, e.Role = u.ID, RoleServing
+		e.Model = p.keptModel(&e)
+		p.planned = append(p.planned, e)
 	}
 }
 
 // keptModel returns the model of the previous desired state or, without one, a
 // model that the engine reports. It skips models that the records no longer allow
 // on the engine, and returns "" if none remains.
-func (p *planner) keptModel(s *plannedEngine) string {
-	if m := s.previous.Model; p.Snapshot.Models[m] != nil && s.mayHold(m) {
+func (p *planner) keptModel(e *plannedEngine) string {
+	if m := e.previous.Model; p.Snapshot.Models[m] != nil && e.mayHold(m) {
 		return m
 	}
-	if s.report == nil {
+	if e.report == nil {
 		return ""
 	}
-	for _, m := range s.report.Models {
-		if p.Snapshot.Models[m.Model] != nil && s.mayHold(m.Model) {
+	for _, m := range e.report.Models {
+		if p.Snapshot.Models[m.Model] != nil && e.mayHold(m.Model) {
 			return m.Model
 		}
 	}
@@ -222,11 +222,11 @@
 func (p *planner) fillModels(want map[string]int) {
 	for _, m := range p.models() {
 		for p.countAvailable(m.Name) < want[m.Name] {
-			s := p.pickEngine(m.Name, want)
-			if s == nil {
+			e := p.pickEngine(m.Name, want)
+			if e == nil {
 				break
 			}
-			s.Model = m.Name
+			e.Model = m.Name
 		}
 	}
 }
@@ -246,15 +246,15 @@
 	inDomain := p.countPerDomain(model)
 	var best *plannedEngine
 	for i := range p.planned {
-		s := &p.planned[i]
-		if !s.available || s.Model == model || !s.mayHold(model) {
+		e := &p.planned[i]
+		if !e.available || e.Model == model || !e.mayHold(model) {
 			continue
 		}
-		if s.Model != "" && p.countAvailable(s.Model) <= want[s.Model] {
+		if e.Model != "" && p.countAvailable(e.Model) <= want[e.Model] {
 			continue
 		}
-		if best == nil || preferred(s, best, model, inDomain) {
-			best = s
+		if best == nil || preferred(e, best, model, inDomain) {
+			best = e
 		}
 	}
 	return best
@@ -265,8 +265,8 @@
 func (p *planner) countPerDomain(model string) map[bramleytack.FailureDomainID]int {
 	n := map[bramleytack.FailureDomainID]int{}
 	for i := range p.planned {
-		if s := &p.planned[i]; s.available && s.Model == model {
-			n[s.record.FailureDomain]++
+		if e := &p.planned[i]; e.available && e.Model == model {
+			n[e.record.FailureDomain]++
 		}
 	}
 	return n
@@ -288,13 +288,13 @@
 // changeCost ranks an engine by the work that it takes to serve a model: nothing
 // if it holds the model, a load if it is empty, or a drain, an unload and a load.
 // Engines that the plan assigns to another model come last.
-func changeCost(s *plannedEngine, model string) int {
+func changeCost(e *plannedEngine, model string) int {
 	switch {
-	case s.Model != "":
+	case e.Model != "":
 		return 3
-	case holdsModel(s.report, model):
+	case holdsModel(e.report, model):
 		return 0
-	case len(s.report.Models) == 0:
+	case len(e.report.Models) == 0:
 		return 1
 	default:
 		return 2
@@ -318,9 +318,9 @@
 			continue
 		}
 		for i := range p.planned {
-			s := &p.planned[i]
-			if s.available && s.Model == "" && s.mayHold(m.Name) && inDomain[s.record.FailureDomain] == 0 {
-				s.Model = m.Name
+			e := &p.planned[i]
+			if e.available && e.Model == "" && e.mayHold(m.Name) && inDomain[e.record.FailureDomain] == 0 {
+				e.Model = m.Name
 				break
 			}
 		}
--- a/btplace/version.go
+++ b/btplace/version.go
@@ -13,16 +13,16 @@
 	target := targetModel(m)
 	var all, outdated []*plannedEngine
 	for i := range p.planned {
-		s := &p.planned[i]
-		if s.Model != m.Name {
+		e := &p.planned[i]
+		if e.Model != m.Name {
 			continue
 		}
-		s.LoadedModel = target
-		if s.accepts {
-			all = append(all, s)
+		e.LoadedModel = target
+		if e.accepts {
+			all = append(all, e)
 		}
-		if p.setRole(s, target) {
-			outdated = append(outdated, s)
+		if p.setRole(e, target) {
+			outdated = append(outdated, e)
 		}
 	}
 	p.startReplacements(all, outdated)
@@ -30,24 +30,24 @@
 
 // setRole sets Role and Beside of an engine, except for one that serves another
 // version. It returns true for such an engine: they are replaced a few at a time.
-func (p *planner) setRole(s *plannedEngine, target bramleytack.LoadedModel) bool {
-	if !s.available {
-		if s.previous.Role == RoleDraining {
-			s.Role = RoleDraining
+func (p *planner) setRole(e *plannedEngine, target bramleytack.LoadedModel) bool {
+	if !e.available {
+		if e.previous.Role == RoleDraining {
+			e.Role = RoleDraining
 		}
 		return false
 	}
 	// An engine that drains already is out of service whatever its version.
-	draining := s.previous.Role == RoleDraining || s.report.Role == RoleDraining
-	switch models := s.report.Models; {
+	draining := e.previous.Role == RoleDraining || e.report.Role == RoleDraining
+	switch models := e.report.Models; {
 	case slices.Contains(models, target):
 		return false
-	case slices.ContainsFunc(models, func(h bramleytack.LoadedModel) bool { return sameWeights(h, target) }):
-		s.Beside = true
+	case slices.ContainsFunc(models, func(m bramleytack.LoadedModel) bool { return sameWeights(m, target) }):
+		e.Beside = true
 		return false
-	case draining, len(models) > 0 && !holdsModel(s.report, target.Model):
-		// The engine is being replaced, or holds only models that were reassigned.
-		s.Role = RoleDraining
+	case draining, len(models) > 0 && !holdsModel(e.report, target.Model):
+		// The engine is being replaced, or has to unload another model first.
+		e.Role = RoleDraining
 		return false
 	case len(models) == 0:
 		return false
@@ -62,11 +62,11 @@
 // returning domains, then those with the fewest generations.
 func (p *planner) startReplacements(all, outdated []*plannedEngine) {
 	serving, replacing := 0, 0
-	for _, s := range all {
-		if s.inService() {
+	for _, e := range all {
+		if e.inService() {
 			serving++
 		}
-		if s.available && (s.Role == RoleDraining || s.Beside || s.report.Role == RoleDraining) {
+		if e.available && (e.Role == RoleDraining || e.Beside || e.report.Role == RoleDraining) {
 			replacing++
 		}
 	}
@@ -78,18 +78,18 @@
 			cmp.Compare(inFlight(a.report), inFlight(b.report)),
 		)
 	})
-	for _, s := range outdated {
+	for _, e := range outdated {
 		switch {
-		case s.previous.Beside:
-			s.Beside = true
+		case e.previous.Beside:
+			e.Beside = true
 		case replacing >= p.Policy.MaxReplace:
 			return
 		case serving > minServing:
-			s.Role = RoleDraining
+			e.Role = RoleDraining
 			serving--
 		case replacing == 0:
 			// No engine can be drained, so one loads the new version beside.
-			s.Beside = true
+			e.Beside = true
 		default:
 			return
 		}
