--- a/btlength/curve.go
+++ b/btlength/curve.go
@@ -5,8 +5,8 @@
 // Intervals is the number of intervals of a Curve.
 const Intervals = 15
 
-// IntervalStart returns the number of tokens, from now, at which interval k begins:
-// 0, 8, 16, 32 and so on.
+// IntervalStart returns the number of further tokens at which interval k of a
+// Curve begins: 0, 8, 16, 32 and so on.
 func IntervalStart(k int) int {
 	if k <= 0 {
 		return 0
@@ -14,61 +14,64 @@
 	return 4 << k
 }
 
-// Curve forecasts one generation over intervals of its remaining tokens.
+// Curve is the forecast of one generation over intervals of its further tokens.
 type Curve struct {
 	// Survival is the probability that the generation is still running when
 	// interval k begins.
 	Survival [Intervals]float32
-	// MeanTokens is the expected number of further tokens at the end of the
-	// interval, or at the generation's end within it, counted as zero for a
-	// generation that ended before the interval.
+	// MeanTokens is the expected number of further tokens at the end of
+	// interval k, or at the end of the generation if that comes first. A
+	// generation that ends before the interval counts as zero. The last
+	// interval has no end.
 	MeanTokens [Intervals]float32
 }
 
-// survival is the distribution of a residual length.
-type survival struct {
-	weight   [buckets]float32
+// residualDist is the distribution of the number of further tokens after
+// produced. Its weights are by bucket of the total output length.
+type residualDist struct {
+	weight   [numBuckets]float32
 	total    float32
 	produced float64
 }
 
-// span returns the part of bucket b above produced.
-func (s *survival) span(b int) (lo, hi float64) {
-	lo, hi = bounds[b], bounds[b+1]
-	return max(lo, s.produced+1) - s.produced, max(hi, s.produced+1) - s.produced
+// span returns the range of residual lengths that bucket b covers.
+func (d *residualDist) span(b int) (lo, hi float64) {
+	lo, hi = bucketBounds[b], bucketBounds[b+1]
+	return max(lo, d.produced+1) - d.produced, max(hi, d.produced+1) - d.produced
 }
 
 // quantile returns the residual length that is not exceeded with probability q.
-func (s *survival) quantile(q float64) float64 {
-	want := q * float64(s.total)
-	for b, w := range s.weight {
+func (d *residualDist) quantile(q float64) float64 {
+	remaining := q * float64(d.total)
+	for b, w := range d.weight {
 		if w <= 0 {
 			continue
 		}
-		if want <= float64(w) {
-			lo, hi := s.span(b)
-			return lo + (hi-lo)*want/float64(w)
+		if remaining <= float64(w) {
+			lo, hi := d.span(b)
+			return lo + (hi-lo)*remaining/float64(w)
 		}
-		want -= float64(w)
+		remaining -= float64(w)
 	}
-	_, hi := s.span(s.last())
+	_, hi := d.span(d.lastBucket())
 	return hi
 }
 
-func (s *survival) mean() float64 {
+func (d *residualDist) mean() float64 {
 	var sum float64
-	for b, w := range s.weight {
+	for b, w := range d.weight {
 		if w > 0 {
-			lo, hi := s.span(b)
+			lo, hi := d.span(b)
 			sum += float64(w) * (lo + hi) / 2
 		}
 	}
-	return sum / float64(s.total)
+	return sum / float64(d.total)
 }
 
-func (s *survival) last() int {
+// lastBucket returns the highest bucket with a positive weight.
+func (d *residualDist) lastBucket() int {
 	last := 0
-	for b, w := range s.weight {
+	for b, w := range d.weight {
 		if w > 0 {
 			last = b
 		}
@@ -76,14 +79,14 @@
 	return last
 }
 
-// curve fills a Curve with residuals cut at limit. One pass goes over the
-// buckets; each adds to the intervals that it overlaps.
-func (s *survival) curve(limit int) Curve {
+// curve returns the Curve of the residuals, which it truncates at limit. Each
+// bucket adds to the intervals that it overlaps.
+func (d *residualDist) curve(limit int) Curve {
 	var c Curve
-	for b, w := range s.weight {
+	for b, w := range d.weight {
 		if w > 0 {
-			lo, hi := s.span(b)
-			c.addBucket(w/s.total, lo, hi, float64(limit))
+			lo, hi := d.span(b)
+			c.addBucket(w/d.total, lo, hi, float64(limit))
 		}
 	}
 	return c
@@ -101,25 +104,25 @@
 		if k+1 < Intervals {
 			to = float64(IntervalStart(k + 1))
 		}
-		alive, reach := overlap(lo, hi, from, to)
-		c.Survival[k] += p * float32(alive)
-		c.MeanTokens[k] += p * float32(reach)
+		survival, mean := intervalMoments(lo, hi, from, to)
+		c.Survival[k] += p * float32(survival)
+		c.MeanTokens[k] += p * float32(mean)
 	}
 }
 
-// overlap returns P(R > from) and E[min(R, to); R > from] for R uniform over
-// [lo, hi].
-func overlap(lo, hi, from, to float64) (alive, reach float64) {
+// intervalMoments returns P(R > from) and E[min(R, to); R > from] for R uniform
+// over [lo, hi].
+func intervalMoments(lo, hi, from, to float64) (survival, mean float64) {
 	if hi <= lo {
 		return 1, min(lo, to)
 	}
 	width := hi - lo
 	start := max(lo, from)
-	alive = (hi - start) / width
+	survival = (hi - start) / width
 	if to <= start {
-		return alive, alive * to
+		return survival, survival * to
 	}
 	end := min(hi, to)
-	reach = (end*end - start*start) / (2 * width)
-	return alive, reach + (hi-end)/width*to
+	mean = (end*end - start*start) / (2 * width)
+	return survival, mean + (hi-end)/width*to
 }
--- a/btlength/doc.go
+++ b/btlength/doc.go
@@ -1,19 +1,20 @@
-// Package btlength learns the distribution of output lengths while requests
-// end, and forecasts how much a running generation will still produce.
+// Package btlength learns the distribution of output lengths from completed
+// requests and forecasts how many tokens a running generation will still
+// produce.
 //
 // An Estimator keeps one histogram with log-spaced buckets for each
 // (workspace, model, priority class), and coarser ones for (model, class),
-// for the model and for everything. A forecast conditions on the tokens that
-// were already produced. It takes the finest histogram and fills up with
-// coarser ones while that has few samples. Old samples lose weight
-// exponentially. The number of fine histograms is bounded; those that were not
-// used for the longest time are evicted.
+// for the model and for all requests. A forecast is conditional on the tokens
+// that were already produced. It starts with the finest histogram and adds
+// coarser ones until there are enough samples. The weight of a sample decays
+// exponentially with its age. The number of histograms is bounded; the least
+// recently used ones are evicted.
 //
 // # Usage
 //
 //	e := btlength.New(btlength.Config{})
 //	key := btlength.Key{Workspace: w, Model: m, Priority: p}
 //	e.Add(now, key, tokens)
-//	rest := e.Residual(key, produced, 0.9)
+//	remaining := e.Residual(key, produced, 0.9)
 //	curve := e.Curve(key, produced, maxTokens)
 package btlength
--- a/btlength/estimator.go
+++ b/btlength/estimator.go
@@ -8,7 +8,7 @@
 	"bramleytack"
 )
 
-// Key is the group of requests whose output lengths are learned together.
+// Key identifies a group of requests whose output lengths share a histogram.
 type Key struct {
 	Workspace bramleytack.WorkspaceID
 	Model     string
@@ -22,15 +22,16 @@
 
 // Config holds the settings of an Estimator. Zero fields take defaults.
 type Config struct {
-	// MaxKeys bounds the histograms per Key, MaxGroups those of each of the
-	// coarser levels.
+	// MaxKeys bounds the number of histograms by Key. MaxGroups bounds those by
+	// model and class, and those by model.
 	MaxKeys   int
 	MaxGroups int
-	// HalfLife is the age at which a sample counts half.
+	// HalfLife is the age at which a sample has half of its weight.
 	HalfLife time.Duration
-	// MinSamples is the weight up to which coarser groups fill up.
+	// MinSamples is the total sample weight of a forecast. Coarser histograms
+	// are added until it is reached.
 	MinSamples float64
-	// Prior is the length that is assumed without any samples.
+	// Prior is the output length, in tokens, that is assumed without samples.
 	Prior int
 }
 
@@ -47,109 +48,113 @@
 type Estimator struct {
 	cfg Config
 
-	mu     sync.Mutex
-	keys   table[Key]
-	class  table[classKey]
-	models table[string]
-	all    histogram
+	mu      sync.Mutex
+	byKey   lruTable[Key]
+	byClass lruTable[classKey]
+	byModel lruTable[string]
+	all     histogram
 }
 
 // New returns an estimator without samples.
 func New(cfg Config) *Estimator {
 	e := &Estimator{cfg: cfg.withDefaults()}
-	e.keys.size = e.cfg.MaxKeys
-	e.class.size = e.cfg.MaxGroups
-	e.models.size = e.cfg.MaxGroups
+	e.byKey.capacity = e.cfg.MaxKeys
+	e.byClass.capacity = e.cfg.MaxGroups
+	e.byModel.capacity = e.cfg.MaxGroups
 	return e
 }
 
-// Add learns the length of an output.
+// Add adds the length of a complete output. It ignores a length that is not
+// positive.
 func (e *Estimator) Add(now time.Time, k Key, tokens int) {
 	if tokens <= 0 {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keys.obtain(k).add(now, tokens, e.cfg.HalfLife)
-	e.class.obtain(classKey{k.Model, k.Priority}).add(now, tokens, e.cfg.HalfLife)
-	e.models.obtain(k.Model).add(now, tokens, e.cfg.HalfLife)
+	e.byKey.getOrCreate(k).add(now, tokens, e.cfg.HalfLife)
+	e.byClass.getOrCreate(classKey{k.Model, k.Priority}).add(now, tokens, e.cfg.HalfLife)
+	e.byModel.getOrCreate(k.Model).add(now, tokens, e.cfg.HalfLife)
 	e.all.add(now, tokens, e.cfg.HalfLife)
 }
 
-// Residual returns the number of further tokens that a generation which
-// produced some already does not exceed with probability quantile.
+// Residual returns a quantile of the number of further tokens that a generation
+// will produce after the given number of tokens.
 func (e *Estimator) Residual(k Key, produced int, quantile float64) int {
-	s := e.survival(k, produced)
-	return int(s.quantile(min(max(quantile, 0), 1)) + 0.5)
+	d := e.residuals(k, produced)
+	return int(d.quantile(min(max(quantile, 0), 1)) + 0.5)
 }
 
-// MeanResidual returns the expected number of further tokens.
+// MeanResidual returns the expected number of further tokens that a generation
+// will produce after the given number of tokens.
 func (e *Estimator) MeanResidual(k Key, produced int) float64 {
-	s := e.survival(k, produced)
-	return s.mean()
+	d := e.residuals(k, produced)
+	return d.mean()
 }
 
 // Curve returns the forecast of a generation that may produce at most limit
 // further tokens. A limit of zero or less sets no bound.
 func (e *Estimator) Curve(k Key, produced, limit int) Curve {
-	s := e.survival(k, produced)
+	d := e.residuals(k, produced)
 	if limit <= 0 {
-		limit = int(bounds[buckets])
+		limit = int(bucketBounds[numBuckets])
 	}
-	return s.curve(limit)
+	return d.curve(limit)
 }
 
 // Len returns the number of keys with a histogram of their own.
 func (e *Estimator) Len() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.keys.slots)
+	return len(e.byKey.slots)
 }
 
-// survival joins the histograms of k, finest first, until their weight above
-// produced reaches MinSamples.
-func (e *Estimator) survival(k Key, produced int) survival {
+// residuals merges the histograms of k, finest first, until the weight of the
+// lengths above produced reaches MinSamples.
+func (e *Estimator) residuals(k Key, produced int) residualDist {
 	produced = max(produced, 0)
-	s := survival{produced: float64(produced)}
+	d := residualDist{produced: float64(produced)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, h := range [...]*histogram{
-		e.keys.find(k),
-		e.class.find(classKey{k.Model, k.Priority}),
-		e.models.find(k.Model),
+		e.byKey.find(k),
+		e.byClass.find(classKey{k.Model, k.Priority}),
+		e.byModel.find(k.Model),
 		&e.all,
 	} {
-		if h != nil && s.fill(h, produced, float32(e.cfg.MinSamples)) {
-			return s
+		if h != nil && d.merge(h, produced, float32(e.cfg.MinSamples)) {
+			return d
 		}
 	}
-	s.fillPrior(e.cfg.Prior, float32(e.cfg.MinSamples))
-	return s
+	d.addPrior(e.cfg.Prior, float32(e.cfg.MinSamples))
+	return d
 }
 
-// fill adds a histogram and says whether the samples suffice. Coarser groups
-// contain the finer ones, so that they only fill the weight that is missing.
-func (s *survival) fill(h *histogram, produced int, want float32) bool {
-	var w [buckets]float32
-	sum := h.survivors(produced, &w)
+// merge adds a histogram and reports whether the total weight reaches
+// minWeight. A coarser histogram includes the samples of the finer ones, so it
+// is scaled down to the weight that is missing.
+func (d *residualDist) merge(h *histogram, produced int, minWeight float32) bool {
+	var w [numBuckets]float32
+	sum := h.weightsAbove(produced, &w)
 	if sum <= 0 {
 		return false
 	}
 	scale := float32(1)
-	if s.total > 0 {
-		scale = min(1, (want-s.total)/sum)
+	if d.total > 0 {
+		scale = min(1, (minWeight-d.total)/sum)
 	}
 	for i := range w {
-		s.weight[i] += w[i] * scale
+		d.weight[i] += w[i] * scale
 	}
-	s.total += sum * scale
-	return s.total >= want
+	d.total += sum * scale
+	return d.total >= minWeight
 }
 
-// fillPrior adds an assumed residual: the prior, or as much again as was
-// produced, which fits lengths with a heavy tail.
-func (s *survival) fillPrior(prior int, want float32) {
-	rest := max(float64(prior)-s.produced, s.produced, 1)
-	s.weight[bucketOf(int(s.produced+rest))] += want - s.total
-	s.total = want
+// addPrior fills up to minWeight with one assumed residual: the rest of the
+// prior or, if more, as many tokens as were produced, which fits lengths with a
+// heavy tail.
+func (d *residualDist) addPrior(prior int, minWeight float32) {
+	residual := max(float64(prior)-d.produced, d.produced, 1)
+	d.weight[bucketOf(int(d.produced+residual))] += minWeight - d.total
+	d.total = minWeight
 }
--- a/btlength/estimator_test.go
+++ b/btlength/estimator_test.go
@@ -24,7 +24,8 @@
 	for range 20000 {
 		e.Add(start, k, int(rng.ExpFloat64()*1000)+1)
 	}
-	// The exponential distribution forgets what was produced.
+	// The exponential distribution is memoryless: the residual does not depend
+	// on the number of tokens produced.
 	for _, produced := range []int{0, 100, 1000, 2500} {
 		for _, q := range []float64{0.5, 0.9, 0.99} {
 			want := -math.Log(1-q) * 1000
@@ -62,8 +63,8 @@
 	assertNear(t, e.Residual(known, 0, 0.5), 2000)
 }
 
-// Guards against curves that are no distribution and residuals that fall as
-// the quantile rises, for any samples.
+// Guards against survival probabilities that rise with the interval, means
+// that exceed the limit, and residuals that fall as the quantile rises.
 func TestCurve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Config{MaxKeys: 2})
@@ -74,7 +75,7 @@
 		produced := rapid.IntRange(0, 400000).Draw(t, "produced")
 		limit := rapid.IntRange(1, 5000).Draw(t, "limit")
 		c := e.Curve(Key{}, produced, limit)
-		assert.Assert(t, c.Survival[0] > 0.99 && c.Survival[0] < 1.01, "alive %v", c.Survival)
+		assert.Assert(t, c.Survival[0] > 0.99 && c.Survival[0] < 1.01, "survival %v", c.Survival)
 		for i := range Intervals {
 			assert.Assert(t, i == 0 || c.Survival[i] <= c.Survival[i-1]+1e-4)
 			assert.Assert(t, c.MeanTokens[i] >= 0 && c.MeanTokens[i] <= c.Survival[i]*float32(limit)*1.01+1e-3)
@@ -86,7 +87,8 @@
 	})
 }
 
-// Guards against eviction of the keys in use.
+// Guards against eviction of keys that are in use, and against tables that grow
+// beyond their bound.
 func TestEviction(t *testing.T) {
 	e := New(Config{MaxKeys: 10, MinSamples: 1})
 	hot := Key{Workspace: "hot"}
--- a/btlength/table.go
+++ b/btlength/table.go
@@ -1,13 +1,14 @@
 package btlength
 
-// table maps keys to histograms and evicts the least recently used one when
-// it is full. Slots live in one slice and are linked by index, which costs
-// fewer pointers than a list element per key.
-type table[K comparable] struct {
-	size  int
-	index map[K]int32
-	slots []slot[K]
-	// newest and oldest end the list of slots by last use.
+// lruTable maps keys to histograms and evicts the least recently used one when
+// it is full. Slots are in one slice and are linked by index, which needs fewer
+// pointers than a list element for each key.
+type lruTable[K comparable] struct {
+	capacity int
+	index    map[K]int32
+	slots    []slot[K]
+	// newest and oldest are the two ends of the list of slots, which is in the
+	// order of last use.
 	newest, oldest int32
 }
 
@@ -17,20 +18,21 @@
 	histogram    histogram
 }
 
+// none is the index of no slot.
 const none = -1
 
-// find returns the histogram of k, or nil.
-func (t *table[K]) find(k K) *histogram {
+// find returns the histogram of k, or nil, and marks it as used.
+func (t *lruTable[K]) find(k K) *histogram {
 	i, ok := t.index[k]
 	if !ok {
 		return nil
 	}
-	t.touch(i)
+	t.markUsed(i)
 	return &t.slots[i].histogram
 }
 
-// obtain returns the histogram of k, which it makes if there is none.
-func (t *table[K]) obtain(k K) *histogram {
+// getOrCreate returns the histogram of k and creates it if there is none.
+func (t *lruTable[K]) getOrCreate(k K) *histogram {
 	if h := t.find(k); h != nil {
 		return h
 	}
@@ -38,16 +40,16 @@
 		t.index = make(map[K]int32)
 		t.newest, t.oldest = none, none
 	}
-	i := t.vacate()
+	i := t.freeSlot()
 	t.slots[i] = slot[K]{key: k, newer: none, older: none}
 	t.index[k] = i
-	t.push(i)
+	t.linkNewest(i)
 	return &t.slots[i].histogram
 }
 
-// vacate returns an unlinked slot.
-func (t *table[K]) vacate() int32 {
-	if len(t.slots) < t.size {
+// freeSlot returns an unlinked slot, that of the oldest key if the table is full.
+func (t *lruTable[K]) freeSlot() int32 {
+	if len(t.slots) < t.capacity {
 		t.slots = append(t.slots, slot[K]{})
 		return int32(len(t.slots) - 1)
 	}
@@ -57,14 +59,14 @@
 	return i
 }
 
-func (t *table[K]) touch(i int32) {
+func (t *lruTable[K]) markUsed(i int32) {
 	if t.newest != i {
 		t.unlink(i)
-		t.push(i)
+		t.linkNewest(i)
 	}
 }
 
-func (t *table[K]) unlink(i int32) {
+func (t *lruTable[K]) unlink(i int32) {
 	s := &t.slots[i]
 	if s.newer == none {
 		t.newest = s.older
@@ -78,7 +80,7 @@
 	}
 }
 
-func (t *table[K]) push(i int32) {
+func (t *lruTable[K]) linkNewest(i int32) {
 	s := &t.slots[i]
 	s.newer, s.older = none, t.newest
 	if t.newest == none {
