--- a/btlength/table.go
+++ b/btlength/table.go
@@ -47,7 +47,8 @@
 	return &t.slots[i].histogram
 }
 
-// freeSlot returns an unlinked slot, that of the oldest key if the table is full.
+// freeSlot returns an unlinked slot. If the table is full, that is the slot of
+// the least recently used key, which it removes.
 func (t *lruTable[K]) freeSlot() int32 {
 	if len(t.slots) < t.capacity {
 		t.slots = append(t.slots, slot[K]{})
--- a/btquarantine/detector.go
+++ b/btquarantine/detector.go
@@ -10,33 +10,36 @@
 	"bramleytack"
 )
 
-// evidenceTimeout bounds the look at an upstream whose stream broke.
-const evidenceTimeout = time.Second
+// inspectTimeout bounds the check of an upstream whose stream or call broke.
+const inspectTimeout = time.Second
 
-// Detector looks at an upstream after a request to it broke off, and reports a
-// crash if IsCrash says so. It stands between the route filter and Tracker.
+// Detector is a filter that checks an upstream when a request to it breaks, and
+// reports a crash if IsCrash finds one. It goes between the route filter and
+// Tracker.
 type Detector struct {
 	Table     *Table
 	Snapshots bramleytack.Snapshots
 	Upstreams bramleytack.Upstreams
-	// Crashed is told of each crash. It may be nil.
+	// Crashed is called for each crash. It may be nil.
 	Crashed func(u bramleytack.UpstreamID, i bramleytack.InstanceID, fps []bramleytack.Fingerprint)
-	// Flush returns when the peers know of the crash, or after a short time. It
-	// is called before the failure goes on to the caller, who may send the
-	// request to another entry at once. It may be nil.
+	// Flush waits until the peers know of the crash, for at most the time that
+	// is left for the check. It is called before the caller gets the error,
+	// because the caller may resend the request to another entry at once. It
+	// may be nil.
 	Flush func(ctx context.Context)
 }
 
 // Handle implements bramleytack.Filter.
 func (d *Detector) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	err := next.Handle(ctx, r, w)
-	if err != nil && r.Target.Upstream != nil && broken(bramleytack.AsError(err)) {
+	if err != nil && r.Target.Upstream != nil && interrupted(bramleytack.AsError(err)) {
 		d.inspect(ctx, r.Target)
 	}
 	return err
 }
 
-func broken(e *bramleytack.Error) bool {
+// interrupted reports whether an attempt that may have run ended early.
+func interrupted(e *bramleytack.Error) bool {
 	if e.Outcome == bramleytack.NotRun {
 		return false
 	}
@@ -44,18 +47,18 @@
 }
 
 func (d *Detector) inspect(ctx context.Context, t bramleytack.Target) {
-	// The caller may be gone, and the others still need to be told.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), evidenceTimeout)
+	// The peers need the report even if the caller has disconnected.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), inspectTimeout)
 	defer cancel()
 	u := t.Upstream
 	e := Evidence{Broken: true, Instance: t.Grant.Instance, Leaving: !d.Snapshots.Snapshot().Accepts(u.ID)}
 	report, err := bramleytack.LoadOf(ctx, d.Upstreams, u)
 	switch {
 	case err == nil:
-		e.Seen = report.Instance
+		e.ReportedInstance = report.Instance
 		e.Leaving = e.Leaving || report.Leaving
 	case errors.Is(err, syscall.ECONNREFUSED):
-		e.Refused = true
+		e.ConnectionRefused = true
 	}
 	if !IsCrash(e) {
 		return
--- a/btquarantine/filter.go
+++ b/btquarantine/filter.go
@@ -11,13 +11,15 @@
 	errSuspect     = bramleytack.NewError(bramleytack.CodeQuarantined, bramleytack.NotRun, "request may have crashed an upstream and is not repeated yet")
 )
 
-// Filter refuses quarantined requests and marks suspects. The outcome of a
-// refusal is that of this sending, which reached no upstream.
+// Filter rejects quarantined requests and marks suspects. A rejection has the
+// outcome NotRun, which holds for this request only: an earlier one with the
+// same content may have run.
 type Filter struct {
 	Table *Table
-	// Arbiter grants the single run of a suspect over all entries, such as
-	// Table.Grant at the fingerprint's owner by rendezvous hash. Without one
-	// each entry grants a run until the Started report of another arrives.
+	// Arbiter decides for all entries which request gets the single run of a
+	// suspect. It may call Table.Grant at the daemon that a rendezvous hash
+	// selects for the fingerprint. Without an Arbiter, each entry grants a run
+	// until the Started report of another entry arrives.
 	Arbiter func(ctx context.Context, fp bramleytack.Fingerprint, request bramleytack.RequestID) error
 }
 
@@ -32,42 +34,45 @@
 		return err
 	}
 	if alone {
-		if err := f.start(ctx, fp, r.ID); err != nil {
+		if err := f.startSingleRun(ctx, fp, r.ID); err != nil {
 			return err
 		}
 		r.Suspect = true
 	}
 	err = next.Handle(ctx, r, w)
-	f.Table.end(fp, r.ID, alone, err)
+	f.Table.finish(fp, r.ID, alone, err)
 	return err
 }
 
-func (f *Filter) start(ctx context.Context, fp bramleytack.Fingerprint, request bramleytack.RequestID) error {
+// startSingleRun obtains the single run of a suspect and reports it to the
+// peers.
+func (f *Filter) startSingleRun(ctx context.Context, fp bramleytack.Fingerprint, request bramleytack.RequestID) error {
 	if f.Arbiter != nil {
 		if err := f.Arbiter(ctx, fp, request); err != nil {
-			refused := errSuspect.WithCause(err)
-			f.Table.end(fp, request, true, refused)
-			return refused
+			rejected := errSuspect.WithCause(err)
+			f.Table.finish(fp, request, true, rejected)
+			return rejected
 		}
 	}
 	f.Table.notify(Report{Kind: Started, Fingerprints: []bramleytack.Fingerprint{fp}, Request: request})
 	return nil
 }
 
-// Tracker notes what is in flight at which upstream. It stands directly before
-// dispatch, where the request's target is known.
+// Tracker is a filter that records which requests are in flight at which
+// upstream. It goes directly before dispatch, where the request's target is
+// known.
 type Tracker struct {
 	Table *Table
 }
 
 // Handle implements bramleytack.Filter.
-func (f *Tracker) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
+func (t *Tracker) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call || r.Target.Upstream == nil {
 		return next.Handle(ctx, r, w)
 	}
-	c := crash{r.Target.Upstream.ID, r.Target.Grant.Instance}
-	leave := f.Table.enter(c, r.Fingerprint(), r.Suspect)
+	key := upstreamInstance{r.Target.Upstream.ID, r.Target.Grant.Instance}
+	end := t.Table.track(key, r.Fingerprint(), r.Suspect)
 	err := next.Handle(ctx, r, w)
-	leave(err != nil && bramleytack.OutcomeOf(err) != bramleytack.NotRun)
+	end(err != nil && bramleytack.OutcomeOf(err) != bramleytack.NotRun)
 	return err
 }
--- a/btquarantine/inflight.go
+++ b/btquarantine/inflight.go
@@ -7,56 +7,56 @@
 	"bramleytack"
 )
 
-// retention is how long a request that ended early counts as in flight. It
+// endedRetention is how long an attempt that ended early counts as in flight. It
 // covers the time until the crash shows in a load report or a new connection.
-const retention = 30 * time.Second
+const endedRetention = 30 * time.Second
 
-// run is one request at one instance of an upstream.
-type run struct {
+// attempt is one sending of a request to one instance of an upstream.
+type attempt struct {
 	fingerprint bramleytack.Fingerprint
 	alone       bool
-	// ended is zero while the request is in flight.
+	// ended is zero while the attempt is in flight.
 	ended time.Time
 }
 
-// inflight holds the requests that are in flight or ended early.
-type inflight map[crash][]*run
+// inflight holds the attempts that are in flight or ended early.
+type inflight map[upstreamInstance][]*attempt
 
-func (f inflight) enter(c crash, r *run) { f[c] = append(f[c], r) }
+func (f inflight) add(key upstreamInstance, a *attempt) { f[key] = append(f[key], a) }
 
-// leave ends a run. A run that ended early stays for the retention.
-func (f inflight) leave(c crash, r *run, early bool, now time.Time) {
-	r.ended = now
-	f[c] = slices.DeleteFunc(f[c], func(o *run) bool {
-		return o == r && !early || !o.ended.IsZero() && now.Sub(o.ended) > retention
+// end ends an attempt. An attempt that ended early stays for endedRetention.
+func (f inflight) end(key upstreamInstance, a *attempt, early bool, now time.Time) {
+	a.ended = now
+	f[key] = slices.DeleteFunc(f[key], func(other *attempt) bool {
+		return other == a && !early || !other.ended.IsZero() && now.Sub(other.ended) > endedRetention
 	})
-	if len(f[c]) == 0 {
-		delete(f, c)
+	if len(f[key]) == 0 {
+		delete(f, key)
 	}
 }
 
-// prune forgets runs past their retention.
+// prune removes attempts that ended more than endedRetention ago.
 func (f inflight) prune(now time.Time) {
-	for c, runs := range f {
-		f[c] = slices.DeleteFunc(runs, func(o *run) bool {
-			return !o.ended.IsZero() && now.Sub(o.ended) > retention
+	for key, attempts := range f {
+		f[key] = slices.DeleteFunc(attempts, func(a *attempt) bool {
+			return !a.ended.IsZero() && now.Sub(a.ended) > endedRetention
 		})
-		if len(f[c]) == 0 {
-			delete(f, c)
+		if len(f[key]) == 0 {
+			delete(f, key)
 		}
 	}
 }
 
-func (f inflight) fingerprints(c crash) []bramleytack.Fingerprint {
+func (f inflight) fingerprints(key upstreamInstance) []bramleytack.Fingerprint {
 	var fps []bramleytack.Fingerprint
-	for _, r := range f[c] {
-		if !slices.Contains(fps, r.fingerprint) {
-			fps = append(fps, r.fingerprint)
+	for _, a := range f[key] {
+		if !slices.Contains(fps, a.fingerprint) {
+			fps = append(fps, a.fingerprint)
 		}
 	}
 	return fps
 }
 
-func (f inflight) alone(c crash, fp bramleytack.Fingerprint) bool {
-	return slices.ContainsFunc(f[c], func(r *run) bool { return r.alone && r.fingerprint == fp })
+func (f inflight) alone(key upstreamInstance, fp bramleytack.Fingerprint) bool {
+	return slices.ContainsFunc(f[key], func(a *attempt) bool { return a.alone && a.fingerprint == fp })
 }
--- a/btquarantine/report.go
+++ b/btquarantine/report.go
@@ -2,18 +2,19 @@
 
 import "bramleytack"
 
-// ReportKind says what a Report tells.
+// ReportKind is the kind of a Report.
 type ReportKind uint8
 
 // The kinds of reports.
 const (
-	// Crashed names the fingerprints in flight at an upstream's crash.
+	// Crashed is sent when an upstream crashes, with the requests in flight at it.
 	Crashed ReportKind = iota
-	// Started says that a suspect's single run has begun.
+	// Started is sent when the single run of a suspect begins.
 	Started
-	// Returned says that a suspect's run reached no upstream.
+	// Returned is sent when the single run of a suspect reached no upstream, so
+	// that another request may have it.
 	Returned
-	// Completed says that requests completed.
+	// Completed is sent when a suspect completes.
 	Completed
 )
 
@@ -27,22 +28,23 @@
 	return "invalid"
 }
 
-// Report is what daemons tell each other.
+// Report is a message about suspects that a daemon sends to its peers.
 type Report struct {
 	Kind         ReportKind
 	Fingerprints []bramleytack.Fingerprint
 	// Upstream and Instance belong to Crashed.
 	Upstream bramleytack.UpstreamID
 	Instance bramleytack.InstanceID
-	// Alone belongs to Crashed: the fingerprints that ran alone at an instance
-	// that had not crashed before.
+	// Alone belongs to Crashed. It lists the suspects that ran alone at the
+	// instance when it crashed.
 	Alone []bramleytack.Fingerprint
 	// Request belongs to Started and Returned.
 	Request bramleytack.RequestID
 }
 
-// crash identifies one crash. An instance crashes once.
-type crash struct {
+// upstreamInstance identifies one start-up of an upstream. It also identifies a
+// crash, since an instance crashes at most once.
+type upstreamInstance struct {
 	upstream bramleytack.UpstreamID
 	instance bramleytack.InstanceID
 }
--- a/btquarantine/suspect.go
+++ b/btquarantine/suspect.go
@@ -8,29 +8,32 @@
 	"bramleytack"
 )
 
-// maxCrashes bounds the crashes that are kept of one suspect.
-const maxCrashes = 8
+// maxCrashesPerSuspect bounds the crashes that are stored for one suspect. The
+// oldest are dropped.
+const maxCrashesPerSuspect = 8
 
-// suspect is what is known of one fingerprint.
+// suspect is the state of one fingerprint.
 type suspect struct {
 	fingerprint bramleytack.Fingerprint
-	crashes     []crash
-	// cleared is set once the request completed or was quarantined. The entry
-	// stays, so that a repeated report of an old crash does not raise the
-	// suspicion again.
+	crashes     []upstreamInstance
+	// cleared is set once the request completed or was quarantined. The suspect
+	// stays in the table, so that a repeated report of an old crash does not
+	// raise the suspicion again.
 	cleared bool
-	// run is the request that has the suspect's single run.
-	run     bramleytack.RequestID
-	expires time.Time
+	// grantedTo is the request that has the suspect's single run, if any.
+	grantedTo bramleytack.RequestID
+	expires   time.Time
 }
 
-// suspects is a bounded table, ordered by expiry.
+// suspects is a bounded table.
 type suspects struct {
 	byFingerprint map[bramleytack.Fingerprint]*list.Element
-	order         list.List
+	// byExpiry has the suspect that expires next in front.
+	byExpiry list.List
 }
 
-// get returns an entry that has not expired.
+// get returns the suspect of a fingerprint, or nil if there is none or it has
+// expired.
 func (t *suspects) get(fp bramleytack.Fingerprint, now time.Time) *suspect {
 	t.expire(now)
 	e, ok := t.byFingerprint[fp]
@@ -40,51 +43,51 @@
 	return e.Value.(*suspect)
 }
 
-// touch returns an entry with a new expiry. It makes room by forgetting the
-// entry that would expire first.
-func (t *suspects) touch(fp bramleytack.Fingerprint, now time.Time, expiry time.Duration, capacity int) *suspect {
+// refresh extends the expiry of a suspect and creates it if there is none. If
+// the table is full, it removes the suspect that would expire next.
+func (t *suspects) refresh(fp bramleytack.Fingerprint, now time.Time, expiry time.Duration, capacity int) *suspect {
 	t.expire(now)
 	e, ok := t.byFingerprint[fp]
 	if !ok {
 		if t.byFingerprint == nil {
 			t.byFingerprint = map[bramleytack.Fingerprint]*list.Element{}
 		}
-		if t.order.Len() >= capacity {
-			t.remove(t.order.Front())
+		if t.byExpiry.Len() >= capacity {
+			t.remove(t.byExpiry.Front())
 		}
-		e = t.order.PushBack(&suspect{fingerprint: fp})
+		e = t.byExpiry.PushBack(&suspect{fingerprint: fp})
 		t.byFingerprint[fp] = e
 	}
-	t.order.MoveToBack(e)
+	t.byExpiry.MoveToBack(e)
 	s := e.Value.(*suspect)
 	s.expires = now.Add(expiry)
 	return s
 }
 
 func (t *suspects) expire(now time.Time) {
-	for e := t.order.Front(); e != nil && !now.Before(e.Value.(*suspect).expires); e = t.order.Front() {
+	for e := t.byExpiry.Front(); e != nil && !now.Before(e.Value.(*suspect).expires); e = t.byExpiry.Front() {
 		t.remove(e)
 	}
 }
 
 func (t *suspects) remove(e *list.Element) {
 	delete(t.byFingerprint, e.Value.(*suspect).fingerprint)
-	t.order.Remove(e)
+	t.byExpiry.Remove(e)
 }
 
-// knows says whether a crash was counted already.
-func (s *suspect) knows(c crash) bool { return slices.Contains(s.crashes, c) }
+// hasCrash reports whether a crash was added before.
+func (s *suspect) hasCrash(c upstreamInstance) bool { return slices.Contains(s.crashes, c) }
 
-// count adds a crash. A new one raises the suspicion again.
-func (s *suspect) count(c crash) {
-	if s.knows(c) {
+// addCrash adds a crash. A new crash raises the suspicion again.
+func (s *suspect) addCrash(c upstreamInstance) {
+	if s.hasCrash(c) {
 		return
 	}
-	if len(s.crashes) == maxCrashes {
+	if len(s.crashes) == maxCrashesPerSuspect {
 		s.crashes = s.crashes[1:]
 	}
 	s.crashes = append(s.crashes, c)
 	if s.cleared {
-		s.cleared, s.run = false, ""
+		s.cleared, s.grantedTo = false, ""
 	}
 }
--- a/btquarantine/table.go
+++ b/btquarantine/table.go
@@ -19,19 +19,23 @@
 )
 
 const (
-	// writePeriod is the time between two tries to write a record.
-	writePeriod = time.Second
-	// peerDelay gives the reporting daemon time to write the record first.
-	peerDelay = 3 * time.Second
-	// visibleWithin is how long a written record may take to appear in the
-	// snapshot. After that an operator has removed it.
-	visibleWithin = time.Minute
+	// flushInterval is the time between two attempts to write a record.
+	flushInterval = time.Second
+	// peerWriteDelay gives the daemon that sent a report time to write the record
+	// first.
+	peerWriteDelay = 3 * time.Second
+	// visibilityTimeout is how long a written record may take to appear in
+	// the snapshot. If it is not there by then, an operator has removed it.
+	visibilityTimeout = time.Minute
 )
 
-// Kind is the kind of quarantine records. Their names are fingerprints.
+// Kind is the kind of quarantine records in the store. Their names are
+// fingerprints in hexadecimal.
 const Kind = "quarantine"
 
-// Record is a quarantine record.
+// Record is the data of a quarantine record. Upstream and Instance name the
+// crash that confirmed the fingerprint, At is the time when the writing daemon
+// learned of it.
 type Record struct {
 	SchemaVersion int                    `json:"schemaVersion"`
 	Upstream      bramleytack.UpstreamID `json:"upstream"`
@@ -39,15 +43,16 @@
 	At            time.Time              `json:"at"`
 }
 
-// Table knows the suspects and what is in flight at this entry. Set Store,
-// Timer and Snapshots before use; other zero values select the defaults.
+// Table holds the suspects, and this entry's requests in flight. Set Store,
+// Timer and Snapshots before use; other zero values select the defaults. It is
+// safe for concurrent use.
 type Table struct {
 	Store     bramleytack.Store
 	Timer     bramleytack.Timer
 	Snapshots bramleytack.Snapshots
 	// Notify sends a report to the peers. It must not block and may be nil.
 	Notify func(Report)
-	// Capacity bounds the suspects, and Expiry how long a suspicion lasts.
+	// Capacity bounds the number of suspects, Expiry how long a suspicion lasts.
 	Capacity int
 	Expiry   time.Duration
 
@@ -57,34 +62,37 @@
 	confirmed map[bramleytack.Fingerprint]*confirmation
 }
 
-// confirmation is a fingerprint that is yet to appear in the snapshot.
+// confirmation is a fingerprint that was found to crash upstreams and is not yet
+// in the snapshot.
 type confirmation struct {
-	crash  crash
-	at     time.Time
-	due    time.Time
-	stored time.Time
+	crash       upstreamInstance
+	confirmedAt time.Time
+	writeAfter  time.Time
+	// storedAt is zero until the record is in the store.
+	storedAt time.Time
 }
 
-// InFlight returns the fingerprints of requests of this entry that are in
-// flight at an instance or ended early a short time ago.
+// InFlight returns the fingerprints of this entry's requests that are in flight
+// at an instance, or ended early there within about the last 30 s.
 func (t *Table) InFlight(u bramleytack.UpstreamID, i bramleytack.InstanceID) []bramleytack.Fingerprint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.inflight.fingerprints(crash{u, i})
+	return t.inflight.fingerprints(upstreamInstance{u, i})
 }
 
-// ReportCrash makes suspects of the requests that were in flight at a crash
-// and tells the peers. The caller has decided by IsCrash that it was one.
+// ReportCrash makes the requests that were in flight at a crash suspects and
+// reports them to the peers. It quarantines those that ran alone. Call it only
+// if IsCrash reports a crash.
 func (t *Table) ReportCrash(u bramleytack.UpstreamID, i bramleytack.InstanceID, fps []bramleytack.Fingerprint) {
-	c := crash{u, i}
+	c := upstreamInstance{u, i}
 	r := Report{Kind: Crashed, Upstream: u, Instance: i, Fingerprints: fps}
 	t.mu.Lock()
 	now := t.Timer.Now()
 	for _, fp := range fps {
-		// A run that began under an instance id which had crashed already is
-		// no evidence: the id is that of an old load report.
+		// A run alone proves nothing if the instance was already known to have
+		// crashed: its id came from an outdated load report.
 		s := t.suspects.get(fp, now)
-		if t.inflight.alone(c, fp) && s != nil && !s.knows(c) {
+		if t.inflight.alone(c, fp) && s != nil && !s.hasCrash(c) {
 			r.Alone = append(r.Alone, fp)
 		}
 	}
@@ -93,36 +101,39 @@
 	t.notify(r)
 }
 
-// Apply takes over a report of a peer.
+// Apply applies a report of a peer.
 func (t *Table) Apply(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Timer.Now()
-	t.apply(r, now, now.Add(peerDelay))
+	t.apply(r, now, now.Add(peerWriteDelay))
 }
 
-// Grant gives a fingerprint's single run to a request, or refuses it. An
-// arbiter calls it for fingerprints that it may not know as suspects yet.
+// Grant gives the single run of a suspect to a request, or returns an Error with
+// CodeQuarantined if another request has it. The fingerprint becomes a suspect
+// if it is none, because an arbiter may be asked before it gets the report of
+// the crash.
 func (t *Table) Grant(fp bramleytack.Fingerprint, request bramleytack.RequestID) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.grant(fp, request)
 }
 
-// apply changes the state. A confirmed fingerprint is written after due.
-func (t *Table) apply(r Report, now, due time.Time) {
+// apply applies a report. Records of the fingerprints that it confirms are not
+// written before writeAfter.
+func (t *Table) apply(r Report, now, writeAfter time.Time) {
 	for _, fp := range r.Alone {
-		t.confirm(fp, crash{r.Upstream, r.Instance}, now, due)
+		t.confirm(fp, upstreamInstance{r.Upstream, r.Instance}, now, writeAfter)
 	}
 	for _, fp := range r.Fingerprints {
 		switch r.Kind {
 		case Crashed:
-			t.touch(fp, now).count(crash{r.Upstream, r.Instance})
+			t.refreshSuspect(fp, now).addCrash(upstreamInstance{r.Upstream, r.Instance})
 		case Started:
-			t.touch(fp, now).run = r.Request
+			t.refreshSuspect(fp, now).grantedTo = r.Request
 		case Returned:
-			if s := t.suspects.get(fp, now); s != nil && s.run == r.Request {
-				s.run = ""
+			if s := t.suspects.get(fp, now); s != nil && s.grantedTo == r.Request {
+				s.grantedTo = ""
 			}
 		case Completed:
 			if s := t.suspects.get(fp, now); s != nil {
@@ -132,15 +143,15 @@
 	}
 }
 
-// confirm quarantines a fingerprint that crashed an upstream alone. A repeated
-// report changes nothing, so that it cannot undo an operator's removal of the
-// record.
-func (t *Table) confirm(fp bramleytack.Fingerprint, c crash, now, due time.Time) {
-	s := t.touch(fp, now)
-	if s.knows(c) {
+// confirm quarantines a fingerprint that ran alone when an upstream crashed. A
+// repeated report of the same crash has no effect, so that it cannot undo an
+// operator's removal of the record.
+func (t *Table) confirm(fp bramleytack.Fingerprint, c upstreamInstance, now, writeAfter time.Time) {
+	s := t.refreshSuspect(fp, now)
+	if s.hasCrash(c) {
 		return
 	}
-	s.count(c)
+	s.addCrash(c)
 	s.cleared = true
 	if t.confirmed[fp] != nil {
 		return
@@ -148,18 +159,18 @@
 	if t.confirmed == nil {
 		t.confirmed = map[bramleytack.Fingerprint]*confirmation{}
 	}
-	t.confirmed[fp] = &confirmation{crash: c, at: now, due: due}
+	t.confirmed[fp] = &confirmation{crash: c, confirmedAt: now, writeAfter: writeAfter}
 }
 
-func (t *Table) touch(fp bramleytack.Fingerprint, now time.Time) *suspect {
+func (t *Table) refreshSuspect(fp bramleytack.Fingerprint, now time.Time) *suspect {
 	capacity := t.Capacity
 	if capacity <= 0 {
 		capacity = DefaultCapacity
 	}
-	return t.suspects.touch(fp, now, t.expiry(), capacity)
+	return t.suspects.refresh(fp, now, t.expiry(), capacity)
 }
 
-// admit decides about a request: it runs, it runs alone, or it is refused.
+// admit decides whether a request runs, runs alone or is rejected.
 func (t *Table) admit(fp bramleytack.Fingerprint, request bramleytack.RequestID) (alone bool, err error) {
 	if t.Snapshots.Snapshot().Quarantined[fp.String()] {
 		return false, errQuarantined
@@ -178,15 +189,16 @@
 
 func (t *Table) grant(fp bramleytack.Fingerprint, request bramleytack.RequestID) error {
 	now := t.Timer.Now()
-	if s := t.suspects.get(fp, now); s != nil && s.run != "" && s.run != request {
+	if s := t.suspects.get(fp, now); s != nil && s.grantedTo != "" && s.grantedTo != request {
 		return errSuspect.WithRetryAfter(s.expires.Sub(now))
 	}
-	t.touch(fp, now).run = request
+	t.refreshSuspect(fp, now).grantedTo = request
 	return nil
 }
 
-// end records how a request ended.
-func (t *Table) end(fp bramleytack.Fingerprint, request bramleytack.RequestID, alone bool, err error) {
+// finish records how a request ended, and reports it to the peers if the
+// fingerprint is in the table of suspects.
+func (t *Table) finish(fp bramleytack.Fingerprint, request bramleytack.RequestID, alone bool, err error) {
 	r := Report{Fingerprints: []bramleytack.Fingerprint{fp}, Request: request}
 	switch {
 	case err == nil:
@@ -206,19 +218,19 @@
 	}
 }
 
-// enter notes a request as in flight and returns the function that ends it.
-func (t *Table) enter(c crash, fp bramleytack.Fingerprint, alone bool) func(early bool) {
-	r := &run{fingerprint: fp, alone: alone}
+// track records an attempt as in flight and returns the function that ends it.
+func (t *Table) track(key upstreamInstance, fp bramleytack.Fingerprint, alone bool) func(early bool) {
+	a := &attempt{fingerprint: fp, alone: alone}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.inflight == nil {
 		t.inflight = inflight{}
 	}
-	t.inflight.enter(c, r)
+	t.inflight.add(key, a)
 	return func(early bool) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.inflight.leave(c, r, early, t.Timer.Now())
+		t.inflight.end(key, a, early, t.Timer.Now())
 	}
 }
 
@@ -237,7 +249,7 @@
 
 // Run writes quarantine records until ctx ends.
 func (t *Table) Run(ctx context.Context) {
-	tick := t.Timer.Every(writePeriod, writePeriod/4)
+	tick := t.Timer.Every(flushInterval, flushInterval/4)
 	defer tick.Stop()
 	for {
 		select {
@@ -249,21 +261,22 @@
 	}
 }
 
-// Flush writes the records that are due and forgets those that the snapshot
-// shows. A write that fails is tried again at the next Flush.
+// Flush writes the records that are due and drops those that are in the
+// snapshot. A write that fails is repeated at the next Flush.
 func (t *Table) Flush(ctx context.Context) {
-	for fp, c := range t.due() {
-		err := t.write(ctx, fp, c)
+	for fp, c := range t.dueWrites() {
+		err := t.writeRecord(ctx, fp, c)
 		if err == nil || errors.Is(err, bramleytack.ErrConflict) {
 			t.mu.Lock()
-			c.stored = t.Timer.Now()
+			c.storedAt = t.Timer.Now()
 			t.mu.Unlock()
 		}
 	}
 }
 
-// due returns the confirmations to be written.
-func (t *Table) due() map[bramleytack.Fingerprint]*confirmation {
+// dueWrites returns the confirmations to be written and drops those that need
+// no write any more.
+func (t *Table) dueWrites() map[bramleytack.Fingerprint]*confirmation {
 	known := t.Snapshots.Snapshot().Quarantined
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -272,18 +285,19 @@
 	due := map[bramleytack.Fingerprint]*confirmation{}
 	for fp, c := range t.confirmed {
 		switch {
-		case known[fp.String()], !c.stored.IsZero() && now.Sub(c.stored) > visibleWithin:
+		case known[fp.String()], !c.storedAt.IsZero() && now.Sub(c.storedAt) > visibilityTimeout:
 			delete(t.confirmed, fp)
-		case c.stored.IsZero() && !now.Before(c.due):
+		case c.storedAt.IsZero() && !now.Before(c.writeAfter):
 			due[fp] = c
 		}
 	}
 	return due
 }
 
-// write creates a record. ErrConflict means that another daemon did.
-func (t *Table) write(ctx context.Context, fp bramleytack.Fingerprint, c *confirmation) error {
-	data, err := json.Marshal(Record{SchemaVersion: 1, Upstream: c.crash.upstream, Instance: c.crash.instance, At: c.at})
+// writeRecord creates a record. It returns ErrConflict if another daemon has
+// done so.
+func (t *Table) writeRecord(ctx context.Context, fp bramleytack.Fingerprint, c *confirmation) error {
+	data, err := json.Marshal(Record{SchemaVersion: 1, Upstream: c.crash.upstream, Instance: c.crash.instance, At: c.confirmedAt})
 	if err != nil {
 		return errors.Wrap(err, "btquarantine: encoding record")
 	}
--- a/btquarantine/table_test.go
+++ b/btquarantine/table_test.go
@@ -16,19 +16,20 @@
 	"bramleytack/internal/btmemstore"
 )
 
-// fleet is a set of entries with one Table each over one store.
+// fleet is a set of entries with one Table each and a common store.
 type fleet struct {
 	t       *testing.T
 	store   *btmemstore.Store
 	timer   *bttimer.Service
 	rng     *rand.Rand
 	entries []*Table
-	// lose and repeat are the chances of a report on its way to a peer.
+	// lose and repeat are the probabilities that a report to a peer is lost or
+	// delivered again.
 	lose, repeat float64
 	instances    int
 	crashes      int
 	requests     int
-	// hidden makes snapshots show no quarantine records.
+	// hidden leaves the quarantine records out of the snapshots.
 	hidden bool
 }
 
@@ -49,7 +50,7 @@
 	})
 }
 
-// Snapshot shows the records in the store.
+// Snapshot returns a snapshot with the quarantine records in the store.
 func (f *fleet) Snapshot() *bramleytack.Snapshot {
 	s := &bramleytack.Snapshot{Quarantined: map[string]bool{}}
 	if f.hidden {
@@ -79,19 +80,20 @@
 
 func fingerprint(content string) bramleytack.Fingerprint { return request(content).Fingerprint() }
 
-// result is what an upstream makes of the requests in flight.
+// result is how an upstream ends a request. Greater values prevail over the
+// requests in flight at the same instance.
 type result uint8
 
 const (
 	completes result = iota
 	crashes
-	cut
+	disconnects
 	neverSent
 )
 
-// send passes requests of one entry through both filters to one fresh instance,
-// all in flight at once, and reports a crash. Suspects run alone. It returns
-// the errors.
+// send passes requests of one entry through Filter and Tracker to a new
+// instance, all in flight at the same time, and reports a crash. Each suspect
+// runs alone at an instance of its own. It returns the errors.
 func (f *fleet) send(entry int, outcome func(content string) result, contents ...string) []error {
 	table, errs := f.entries[entry], make([]error, len(contents))
 	f.instances++
@@ -130,9 +132,9 @@
 			}
 			return (&Tracker{Table: table}).Handle(ctx, r, w, last)
 		})
-		entered := f.requests
+		before := f.requests
 		errs[i] = (&Filter{Table: table}).Handle(f.t.Context(), r, nil, route)
-		if f.requests == entered { // The others are not in flight beside it.
+		if f.requests == before { // The next requests did not run inside of this one.
 			path(i + 1)
 		}
 	}
@@ -144,7 +146,7 @@
 	return errs
 }
 
-// poison crashes on contents that start with "poison".
+// poison returns crashes for contents that start with "poison".
 func poison(content string) result {
 	if strings.HasPrefix(content, "poison") {
 		return crashes
@@ -156,7 +158,7 @@
 
 func (f *fleet) assertCode(err error, want bramleytack.Code) {
 	f.t.Helper()
-	assert.Assert(f.t, err != nil, "request ran")
+	assert.Assert(f.t, err != nil, "request succeeded")
 	assert.Equal(f.t, bramleytack.AsError(err).Code, want)
 	if want == bramleytack.CodeQuarantined {
 		assert.Equal(f.t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
@@ -169,7 +171,7 @@
 	for _, e := range f.entries {
 		go e.Run(ctx)
 	}
-	time.Sleep(2 * peerDelay)
+	time.Sleep(2 * peerWriteDelay)
 }
 
 // records returns the names in the store.
@@ -183,10 +185,10 @@
 	return strings.Join(names, " ")
 }
 
-// Guards against poison requests that go on crashing upstreams and against
-// quarantined requests that are innocent.
+// Guards against requests that crash upstream after upstream, and against the
+// quarantine of requests that crash none.
 func TestContainment(t *testing.T) {
-	scenario(t, "two crashes, then refused at every entry", 8, func(t *testing.T, f *fleet) {
+	scenario(t, "two crashes, then rejected at every entry", 8, func(t *testing.T, f *fleet) {
 		f.send(0, poison, "poison", "innocent")
 		f.send(1, poison, "poison")
 		for i := range f.entries {
@@ -197,30 +199,30 @@
 		assert.Equal(t, f.crashes, 2)
 		assert.Equal(t, f.records(), fingerprint("poison").String())
 	})
-	scenario(t, "a new entry knows the record", 1, func(_ *testing.T, f *fleet) {
+	scenario(t, "a new entry rejects by the record", 1, func(_ *testing.T, f *fleet) {
 		f.send(0, poison, "poison")
 		f.send(0, poison, "poison")
 		f.flush()
 		f.entries[0] = &Table{Store: f.store, Timer: f.timer, Snapshots: f}
 		f.assertCode(f.send(0, poison, "poison")[0], bramleytack.CodeQuarantined)
 	})
-	scenario(t, "the record is written although the reporter is gone", 2, func(t *testing.T, f *fleet) {
+	scenario(t, "a peer writes the record if the reporting entry fails", 2, func(t *testing.T, f *fleet) {
 		f.send(0, poison, "poison")
 		f.send(0, poison, "poison")
 		f.entries = f.entries[1:]
 		f.flush()
 		assert.Equal(t, f.records(), fingerprint("poison").String())
 	})
-	scenario(t, "cut links quarantine nothing", 2, func(t *testing.T, f *fleet) {
+	scenario(t, "network failures quarantine nothing", 2, func(t *testing.T, f *fleet) {
 		f.send(0, poison, "poison", "innocent")
-		f.send(0, always(cut), "innocent")
+		f.send(0, always(disconnects), "innocent")
 		f.assertCode(f.send(1, poison, "innocent")[0], bramleytack.CodeQuarantined)
 		f.flush()
 		assert.Equal(t, f.records(), "")
 		time.Sleep(DefaultExpiry)
 		assert.NilError(t, f.send(1, poison, "innocent")[0])
 	})
-	scenario(t, "a run that reached no upstream is given back", 2, func(t *testing.T, f *fleet) {
+	scenario(t, "a run that reached no upstream may be repeated", 2, func(t *testing.T, f *fleet) {
 		f.send(0, poison, "poison", "innocent")
 		f.assertCode(f.send(0, always(neverSent), "innocent")[0], bramleytack.CodeOverloaded)
 		assert.NilError(t, f.send(1, poison, "innocent")[0])
@@ -232,8 +234,8 @@
 			f.entries[0].ReportCrash("u", "old", innocent)
 		}
 		f.lose = 0
-		leave := f.entries[0].enter(crash{"u", "old"}, innocent[0], true)
-		leave(true)
+		end := f.entries[0].track(upstreamInstance{"u", "old"}, innocent[0], true)
+		end(true)
 		f.entries[0].ReportCrash("u", "old", innocent)
 		f.flush()
 		assert.Equal(t, f.records(), "")
@@ -258,34 +260,34 @@
 		assert.Equal(t, f.records(), "")
 		assert.NilError(t, f.send(0, always(completes), "poison")[0])
 	})
-	scenario(t, "the table is bounded", 1, func(t *testing.T, f *fleet) {
+	scenario(t, "the table of suspects is bounded", 1, func(t *testing.T, f *fleet) {
 		f.entries[0].Capacity = 10
 		for i := range 100 {
 			f.send(0, always(crashes), fmt.Sprint(i))
 		}
-		assert.Equal(t, f.entries[0].suspects.order.Len(), 10)
+		assert.Equal(t, f.entries[0].suspects.byExpiry.Len(), 10)
 		assert.Equal(t, len(f.entries[0].suspects.byFingerprint), 10)
 	})
 }
 
-// Guards against containment that depends on every report, on one daemon or on
-// a healthy store.
+// Guards against quarantine that fails, or hits innocent requests, when reports
+// are lost or repeated or the store is faulty.
 func TestContainmentFaults(t *testing.T) {
 	const entries = 8
 	for name, c := range map[string]struct {
 		lose, repeat float64
 		fault        btmemstore.Fault
-		// most bounds the crashes: one run before the suspicion is known, and
-		// one alone, at each entry that has to find out by itself.
-		most int
+		// maxCrashes allows one crash before the request is a suspect and one
+		// when it runs alone, at each entry that gets no reports.
+		maxCrashes int
 	}{
-		"healthy":          {most: 2},
-		"repeated reports": {repeat: 0.5, most: 2},
-		"lost reports":     {lose: 0.4, repeat: 0.3, most: 2 * entries},
-		"no reports":       {lose: 1, most: 2 * entries},
-		"store down":       {fault: btmemstore.Fault{Down: true}, most: 2},
-		"lost replies":     {fault: btmemstore.Fault{LoseReplies: 2}, most: 2},
-		"dropped writes":   {fault: btmemstore.Fault{DropWrites: 20}, most: 2},
+		"healthy":          {maxCrashes: 2},
+		"repeated reports": {repeat: 0.5, maxCrashes: 2},
+		"lost reports":     {lose: 0.4, repeat: 0.3, maxCrashes: 2 * entries},
+		"no reports":       {lose: 1, maxCrashes: 2 * entries},
+		"store down":       {fault: btmemstore.Fault{Down: true}, maxCrashes: 2},
+		"lost replies":     {fault: btmemstore.Fault{LoseReplies: 2}, maxCrashes: 2},
+		"dropped writes":   {fault: btmemstore.Fault{DropWrites: 20}, maxCrashes: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(30) {
@@ -298,7 +300,7 @@
 						f.send(f.rng.IntN(entries), poison, "innocent 1", "poison", "innocent 2")
 						time.Sleep(100 * time.Millisecond)
 					}
-					assert.Assert(t, f.crashes >= 2 && f.crashes <= c.most, "seed %d: %d crashes", seed, f.crashes)
+					assert.Assert(t, f.crashes >= 2 && f.crashes <= c.maxCrashes, "seed %d: %d crashes", seed, f.crashes)
 					f.flush()
 					f.store.SetFault(btmemstore.Fault{})
 					f.flush()
@@ -309,9 +311,9 @@
 	}
 }
 
-// Guards against a single run that several entries grant at the same time.
+// Guards against several entries granting the single run of a suspect.
 func TestArbiter(t *testing.T) {
-	scenario(t, "one run over all entries", 8, func(t *testing.T, f *fleet) {
+	scenario(t, "one run for all entries", 8, func(t *testing.T, f *fleet) {
 		f.send(0, poison, "poison")
 		f.lose = 1
 		granted := 0
@@ -330,20 +332,20 @@
 	})
 }
 
-// Guards against a cut link that counts as a crash.
+// Guards against a network failure that counts as a crash.
 func TestIsCrash(t *testing.T) {
 	for name, c := range map[string]struct {
 		e    Evidence
 		want bool
 	}{
-		"cut link":               {Evidence{Broken: true, Instance: "1", Seen: "1"}, false},
-		"cut link, no report":    {Evidence{Broken: true, Instance: "1"}, false},
-		"unknown instance":       {Evidence{Broken: true, Seen: "2"}, false},
-		"restart without break":  {Evidence{Instance: "1", Seen: "2"}, false},
-		"refusal without break":  {Evidence{Refused: true}, false},
-		"break and new instance": {Evidence{Broken: true, Instance: "1", Seen: "2"}, true},
-		"break and refusal":      {Evidence{Broken: true, Refused: true, Instance: "1"}, true},
-		"taken out of service":   {Evidence{Broken: true, Refused: true, Leaving: true}, false},
+		"network failure":            {Evidence{Broken: true, Instance: "1", ReportedInstance: "1"}, false},
+		"network failure, no report": {Evidence{Broken: true, Instance: "1"}, false},
+		"unknown instance":           {Evidence{Broken: true, ReportedInstance: "2"}, false},
+		"restart without break":      {Evidence{Instance: "1", ReportedInstance: "2"}, false},
+		"refusal without break":      {Evidence{ConnectionRefused: true}, false},
+		"break and new instance":     {Evidence{Broken: true, Instance: "1", ReportedInstance: "2"}, true},
+		"break and refusal":          {Evidence{Broken: true, ConnectionRefused: true, Instance: "1"}, true},
+		"leaving":                    {Evidence{Broken: true, ConnectionRefused: true, Leaving: true}, false},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, IsCrash(c.e), c.want) })
 	}
