--- a/btroute/candidates.go
+++ b/btroute/candidates.go
@@ -7,29 +7,32 @@
 	"bramleytack"
 )
 
-// unavailableRetry is the advice to callers when no upstream can take the
-// request: about the time in which a new view or a load report arrives.
-const unavailableRetry = time.Second
+// noUpstreamRetryAfter is when a caller should retry if no upstream can take
+// the request. A new view or load report arrives in about that time.
+const noUpstreamRetryAfter = time.Second
 
-// ModelIndex says which engines have confirmed that they hold a model version.
+// ModelIndex knows which upstreams have confirmed that they have a model
+// loaded.
 type ModelIndex interface {
 	// HasModel reports whether the upstream's last report lists m. An empty
 	// version matches every version.
 	HasModel(id bramleytack.UpstreamID, m bramleytack.LoadedModel) bool
 }
 
-// VersionFallback is implemented by a ModelIndex that knows the other versions of a model
-// which an engine holds.
+// VersionFallback is implemented by a ModelIndex that also knows which other
+// versions of a model an upstream has loaded.
 type VersionFallback interface {
-	// OtherVersion returns a version of the model with the same adapter that the
-	// upstream's last report lists.
+	// OtherVersion returns a version of the model that the upstream's last
+	// report lists with the same adapter.
 	OtherVersion(id bramleytack.UpstreamID, m bramleytack.LoadedModel) (version string, ok bool)
 }
 
-// wideAttempt is the attempt from which an entry looks beyond its subset.
-const wideAttempt = 3
+// firstUnrestrictedAttempt is the first attempt that is not restricted to the
+// entry's subset of the upstreams.
+const firstUnrestrictedAttempt = 3
 
-// candidates returns the upstreams that may run the request under the snapshot.
+// candidates returns the upstreams that may run the request according to the
+// snapshot.
 func (f *Filter) candidates(q Query) ([]Candidate, error) {
 	s, r := q.Snapshot, q.Request
 	if len(s.Quarantined) > 0 && s.Quarantined[r.Fingerprint().String()] {
@@ -46,8 +49,8 @@
 	if _, ok := q.Snapshot.Services[name]; !ok {
 		return nil, bramleytack.NewError(bramleytack.CodeUnknownService, bramleytack.NotRun, "unknown service %q", name)
 	}
-	c := f.accepting(q, q.Snapshot.ByService[name], nil)
-	return c, noneError(len(c), name)
+	c := f.usableCandidates(q, q.Snapshot.ByService[name], nil)
+	return c, noUpstreamError(len(c), name)
 }
 
 func (f *Filter) modelCandidates(q Query) ([]Candidate, error) {
@@ -57,20 +60,21 @@
 		return nil, bramleytack.NewError(bramleytack.CodeUnknownModel, bramleytack.NotRun, "unknown model %q", name)
 	}
 	want := &bramleytack.LoadedModel{Model: m.Name, Version: m.Version, Adapter: m.Adapter}
-	n := cmp.Or(f.SubsetSize, defaultSubset)
+	n := cmp.Or(f.SubsetSize, defaultSubsetSize)
 	var c []Candidate
-	if q.Attempt < wideAttempt {
-		c = f.accepting(q, f.subsets.get(s, f.Entry, name, n), want)
+	if q.Attempt < firstUnrestrictedAttempt {
+		c = f.usableCandidates(q, f.subsets.get(s, f.Entry, name, n), want)
 	}
-	// A subset with few usable upstreams would overload them.
+	// If fewer than half of the subset are usable, they would be overloaded.
 	if all := s.ByModel[name]; len(c) < min(n, len(all))/2 || len(c) == 0 {
-		c = f.accepting(q, all, want)
+		c = f.usableCandidates(q, all, want)
 	}
-	return c, noneError(len(c), name)
+	return c, noUpstreamError(len(c), name)
 }
 
-// accepting returns the upstreams that take new work and hold the model.
-func (f *Filter) accepting(q Query, ups []*bramleytack.Upstream, want *bramleytack.LoadedModel) []Candidate {
+// usableCandidates returns the upstreams that accept new work and have loaded
+// the model. A nil want stands for a service.
+func (f *Filter) usableCandidates(q Query, ups []*bramleytack.Upstream, want *bramleytack.LoadedModel) []Candidate {
 	c := make([]Candidate, 0, len(ups))
 	for _, u := range ups {
 		if !q.Snapshot.Accepts(u.ID) || !u.In(f.Cell) {
@@ -78,7 +82,7 @@
 		}
 		x := Candidate{Upstream: u}
 		if want != nil {
-			version, ok := f.held(u.ID, *want)
+			version, ok := f.offeredVersion(u.ID, *want)
 			if !ok {
 				continue
 			}
@@ -94,8 +98,9 @@
 	return c
 }
 
-// held returns the version that an upstream offers for a wanted one.
-func (f *Filter) held(id bramleytack.UpstreamID, want bramleytack.LoadedModel) (string, bool) {
+// offeredVersion returns the version that an upstream has loaded: the wanted
+// one or, if AllowOtherVersions is set, another.
+func (f *Filter) offeredVersion(id bramleytack.UpstreamID, want bramleytack.LoadedModel) (string, bool) {
 	if f.Models == nil || f.Models.HasModel(id, want) {
 		return want.Version, true
 	}
@@ -105,47 +110,48 @@
 	return "", false
 }
 
-func noneError(n int, name string) error {
+func noUpstreamError(n int, name string) error {
 	if n > 0 {
 		return nil
 	}
 	return bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "no upstream for %q", name).
-		WithRetryAfter(unavailableRetry)
+		WithRetryAfter(noUpstreamRetryAfter)
 }
 
-// visits remembers the upstreams that a request was offered to.
-type visits struct {
+// triedUpstreams holds the upstreams that a request was offered to in the
+// current round.
+type triedUpstreams struct {
 	seen map[bramleytack.UpstreamID]bool
 	last bramleytack.UpstreamID
 }
 
-func (v *visits) add(id bramleytack.UpstreamID) {
-	if v.seen == nil {
-		v.seen = make(map[bramleytack.UpstreamID]bool)
+func (t *triedUpstreams) add(id bramleytack.UpstreamID) {
+	if t.seen == nil {
+		t.seen = make(map[bramleytack.UpstreamID]bool)
 	}
-	v.seen[id] = true
-	v.last = id
+	t.seen[id] = true
+	t.last = id
 }
 
-// remaining returns the candidates that were not visited. When all were, a
-// new round begins with all but the last one.
-func (v *visits) remaining(c []Candidate) []Candidate {
-	if v.last == "" {
+// untried returns the candidates that were not tried. If all were, a new round
+// begins with all but the last one.
+func (t *triedUpstreams) untried(c []Candidate) []Candidate {
+	if t.last == "" {
 		return c
 	}
-	rest := filter(c, func(id bramleytack.UpstreamID) bool { return !v.seen[id] })
+	rest := selectCandidates(c, func(id bramleytack.UpstreamID) bool { return !t.seen[id] })
 	if len(rest) > 0 {
 		return rest
 	}
-	clear(v.seen)
-	rest = filter(c, func(id bramleytack.UpstreamID) bool { return id != v.last })
+	clear(t.seen)
+	rest = selectCandidates(c, func(id bramleytack.UpstreamID) bool { return id != t.last })
 	if len(rest) > 0 {
 		return rest
 	}
 	return c
 }
 
-func filter(c []Candidate, keep func(bramleytack.UpstreamID) bool) []Candidate {
+func selectCandidates(c []Candidate, keep func(bramleytack.UpstreamID) bool) []Candidate {
 	var rest []Candidate
 	for _, x := range c {
 		if keep(x.Upstream.ID) {
--- a/btroute/doc.go
+++ b/btroute/doc.go
@@ -4,15 +4,15 @@
 // A Filter lists the candidates for the request's model or service, lets a
 // Policy pick one, reserves with the upstream's owner and calls the next
 // handler with Request.Target set. A failure with outcome NotRun moves the
-// request to another candidate. A failure with another outcome is tried again
-// at most once, and only for requests that may run twice and of which nothing
-// reached the client.
+// request to another candidate. After a failure with another outcome, a request
+// is repeated at most once, and only if it may run twice and nothing of the
+// response has reached the caller.
 //
-// Loads holds what the entry knows of the upstreams: the digests that owners
-// send, and the entry's own requests that the digests do not show yet.
+// Loads holds the load of the upstreams: the digests that owners send, and the
+// entry's own requests that the digests do not include yet.
 //
-// RoundRobin, LeastInFlight and TwoRandom are the baselines that Scored is
-// compared with.
+// Scored is the policy of the daemon. RoundRobin, LeastInFlight and TwoRandom
+// are baselines for comparison.
 //
 // # Usage
 //
--- a/btroute/filter.go
+++ b/btroute/filter.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	// releaseTimeout bounds the wait for an owner that does not answer a
-	// release. The owner then frees the place by load report or deadline.
+	// releaseTimeout bounds the wait for the reply to a release. Without a
+	// release, the owner ends the reservation by load report or deadline.
 	releaseTimeout = time.Second
-	// suspectAsk is the time between two reservations of a suspect, and
-	// suspectWait the time for which it asks. The owner drains the upstream
-	// meanwhile, so that asking elsewhere would start anew.
-	suspectAsk  = 250 * time.Millisecond
-	suspectWait = 15 * time.Second
+	// suspectRetryInterval is the time between two requests for a reservation
+	// of a suspect, suspectTimeout the total time of them. The owner drains the
+	// upstream meanwhile. Another upstream would have to drain from the start.
+	suspectRetryInterval = 250 * time.Millisecond
+	suspectTimeout       = 15 * time.Second
 	// maxRuns bounds the attempts that an upstream may have run.
 	maxRuns = 2
 )
 
-// Filter is the route step of a request. Resume and Cancel go to the upstream
-// that their generation token names and pass through unchanged.
+// Filter chooses an upstream for each attempt of a request, reserves capacity
+// there and calls the next handler. Resume and Cancel pass through unchanged:
+// their generation token names the upstream.
 type Filter struct {
+	// Entry is the host of this daemon.
 	Entry bramleytack.HostID
-	// Cell is the entry's cell. Only upstreams of the same cell are asked, since
-	// an entry knows the owners of its own cell alone.
+	// Cell is the entry's cell. Upstreams of other cells are not used, since an
+	// entry knows only the owners in its own cell.
 	Cell      bramleytack.CellID
 	Snapshots bramleytack.Snapshots
 	Owner     bramleytack.Owner
@@ -38,22 +40,23 @@
 	Retry Retry
 	// Loads may be nil.
 	Loads *Loads
-	// Models may be nil: then each upstream in a model's list holds it.
+	// Models knows which upstreams have loaded a model. If it is nil, each
+	// upstream in a model's list is assumed to have loaded it.
 	Models ModelIndex
-	// AllowOtherVersions lets an engine that holds another version of the model run
-	// requests. Placement replaces engines a few at a time after a change of
-	// version, and those that wait for their turn go on serving. It has an
-	// effect if Models implements VersionFallback.
+	// AllowOtherVersions lets engines with another version of the model run
+	// requests. After a change of version, placement replaces a few engines at
+	// a time, and the others continue to serve. It has an effect only if Models
+	// implements VersionFallback.
 	AllowOtherVersions bool
-	// SubsetSize bounds the upstreams per model that this entry uses. Zero
-	// takes a default.
+	// SubsetSize is the number of upstreams for each model that this entry
+	// uses at first. Zero selects a default.
 	SubsetSize int
-	// Granted is told that a request got a reservation. It may be nil.
+	// Granted is called when a request gets a reservation. It may be nil.
 	Granted func(*bramleytack.Request)
-	// NewGrant returns a new grant id. A nil NewGrant uses random ids.
+	// NewGrant returns a new grant id. If it is nil, ids are random.
 	NewGrant func() bramleytack.GrantID
 
-	subsets subsets
+	subsets subsetCache
 }
 
 // Handle offers the request to upstreams until one completes it or no further
@@ -62,55 +65,56 @@
 	if r.Kind != bramleytack.Generate && r.Kind != bramleytack.Call {
 		return next.Handle(ctx, r, w)
 	}
-	run := &run{Filter: f, request: r, reply: w, next: next, worst: bramleytack.NotRun}
-	return run.loop(ctx)
+	routing := &routing{Filter: f, request: r, writer: w, next: next, outcome: bramleytack.NotRun}
+	return routing.loop(ctx)
 }
 
-// run is the state of one request over its attempts.
-type run struct {
+// routing is the state of one request over its attempts.
+type routing struct {
 	*Filter
 	request *bramleytack.Request
-	reply   bramleytack.ResponseWriter
+	writer  bramleytack.ResponseWriter
 	next    bramleytack.Handler
 
-	visits visits
-	// worst is the outcome over all attempts; runs counts the attempts that
-	// were not NotRun.
-	worst     bramleytack.Outcome
-	runs      int
+	tried triedUpstreams
+	// outcome is the combined outcome of all attempts. runs counts the attempts
+	// whose outcome was not NotRun.
+	outcome bramleytack.Outcome
+	runs    int
+	// delivered is set once a part of the response was passed to the caller.
 	delivered bool
 }
 
-func (r *run) loop(ctx context.Context) error {
+func (r *routing) loop(ctx context.Context) error {
 	for attempt := 1; ; attempt++ {
 		err := r.attempt(ctx, attempt)
 		if err == nil {
 			return nil
 		}
-		if !r.mayRepeat(ctx, err) || !r.wait(ctx, attempt+1) {
-			return err.WithOutcome(r.worst)
+		if !r.mayRetry(ctx, err) || !r.waitForAttempt(ctx, attempt+1) {
+			return err.WithOutcome(r.outcome)
 		}
 	}
 }
 
 // attempt offers the request to one upstream.
-func (r *run) attempt(ctx context.Context, attempt int) *bramleytack.Error {
+func (r *routing) attempt(ctx context.Context, attempt int) *bramleytack.Error {
 	q := Query{Request: r.request, Snapshot: r.Snapshots.Snapshot(), Now: r.Timer.Now(), Attempt: attempt, Suspect: r.request.Suspect}
 	candidates, err := r.candidates(q)
 	if err != nil {
 		return bramleytack.AsError(err)
 	}
-	candidates = r.visits.remaining(candidates)
+	candidates = r.tried.untried(candidates)
 	picked := candidates[r.Policy.Pick(q, candidates)]
 	u := picked.Upstream
-	r.visits.add(u.ID)
+	r.tried.add(u.ID)
 	r.request.Attempt = attempt
-	grant, refused := r.reserve(ctx, u.ID, q.Suspect)
+	grant, rejected := r.reserve(ctx, u.ID, q.Suspect)
 	if q.Suspect {
-		grant, refused = r.insist(ctx, u.ID, grant, refused)
+		grant, rejected = r.retryReserve(ctx, u.ID, grant, rejected)
 	}
-	if refused != nil {
-		return refused
+	if rejected != nil {
+		return rejected
 	}
 	r.request.Target = bramleytack.Target{Upstream: u, Grant: grant, Version: picked.Version}
 	if m, ok := q.Snapshot.Models[r.request.Model]; ok {
@@ -119,9 +123,9 @@
 	return r.dispatch(ctx)
 }
 
-// reserve asks the owner. A failure is always NotRun, since a reservation
-// alone sends nothing to the upstream.
-func (r *run) reserve(ctx context.Context, id bramleytack.UpstreamID, suspect bool) (bramleytack.Grant, *bramleytack.Error) {
+// reserve asks the owner for a reservation. An error always has the outcome
+// NotRun, since a reservation alone sends nothing to the upstream.
+func (r *routing) reserve(ctx context.Context, id bramleytack.UpstreamID, suspect bool) (bramleytack.Grant, *bramleytack.Error) {
 	req := r.request
 	v := bramleytack.Reservation{
 		Grant:        r.newGrant(),
@@ -142,36 +146,37 @@
 	}
 	e := bramleytack.AsError(err)
 	if r.Loads != nil && e.Code == bramleytack.CodeOverloaded {
-		r.Loads.refuse(r.Timer.Now(), id, e.RetryAfter)
+		r.Loads.recordRejection(r.Timer.Now(), id, e.RetryAfter)
 	}
 	if e.Outcome != bramleytack.NotRun {
-		// The owner may have counted the reservation although its answer
-		// was lost.
+		// The owner may have made the reservation although its reply was
+		// lost.
 		r.release(ctx, bramleytack.Release{Grant: v.Grant, Upstream: id, Outcome: bramleytack.NotRun})
 	}
 	return bramleytack.Grant{}, e.WithOutcome(bramleytack.NotRun)
 }
 
-// insist asks again for a suspect while its upstream drains.
-func (r *run) insist(ctx context.Context, id bramleytack.UpstreamID, grant bramleytack.Grant, refused *bramleytack.Error) (bramleytack.Grant, *bramleytack.Error) {
-	end := r.Timer.Now().Add(suspectWait)
+// retryReserve repeats the reservation of a suspect while the upstream drains.
+// It takes and returns the result of the last reservation.
+func (r *routing) retryReserve(ctx context.Context, id bramleytack.UpstreamID, grant bramleytack.Grant, rejected *bramleytack.Error) (bramleytack.Grant, *bramleytack.Error) {
+	end := r.Timer.Now().Add(suspectTimeout)
 	if d := r.request.Deadline; !d.IsZero() && d.Before(end) {
 		end = d
 	}
-	for refused != nil && refused.Code == bramleytack.CodeOverloaded && r.Timer.Now().Add(suspectAsk).Before(end) {
-		if r.Timer.Sleep(ctx, suspectAsk) != nil || !r.Snapshots.Snapshot().Accepts(id) {
-			return grant, refused
+	for rejected != nil && rejected.Code == bramleytack.CodeOverloaded && r.Timer.Now().Add(suspectRetryInterval).Before(end) {
+		if r.Timer.Sleep(ctx, suspectRetryInterval) != nil || !r.Snapshots.Snapshot().Accepts(id) {
+			return grant, rejected
 		}
-		grant, refused = r.reserve(ctx, id, true)
+		grant, rejected = r.reserve(ctx, id, true)
 	}
-	return grant, refused
+	return grant, rejected
 }
 
-func (r *run) dispatch(ctx context.Context) *bramleytack.Error {
+func (r *routing) dispatch(ctx context.Context) *bramleytack.Error {
 	grant := r.request.Target.Grant
 	id := r.request.Target.Upstream.ID
-	r.started(id)
-	rec := &recorder{reply: r.reply, timer: r.Timer, start: r.Timer.Now()}
+	r.notifyStarted(id)
+	rec := &recorder{writer: r.writer, timer: r.Timer, start: r.Timer.Now()}
 	err := r.next.Handle(ctx, r.request, rec)
 	e := bramleytack.AsError(err)
 	outcome := bramleytack.OutcomeOf(err)
@@ -179,8 +184,8 @@
 		Grant:      grant.ID,
 		Upstream:   id,
 		Outcome:    outcome,
-		Failed:     failed(e),
-		Abandoned:  e != nil && outcome != bramleytack.NotRun && rec.unopened() && r.request.Kind == bramleytack.Generate,
+		Failed:     upstreamFailed(e),
+		Abandoned:  e != nil && outcome != bramleytack.NotRun && rec.neverOpened() && r.request.Kind == bramleytack.Generate,
 		FirstToken: rec.firstToken,
 	}
 	// The length of an interrupted output says nothing about the length of a
@@ -190,21 +195,22 @@
 	}
 	r.release(ctx, release)
 	if r.Loads != nil {
-		r.Loads.end(id)
+		r.Loads.requestEnded(id)
 	}
 	r.delivered = r.delivered || rec.delivered
 	if e != nil && outcome != bramleytack.NotRun {
 		r.runs++
-		r.worst = worse(r.worst, outcome)
-		r.request.Suspect = r.request.Suspect || failed(e)
+		r.outcome = combineOutcomes(r.outcome, outcome)
+		r.request.Suspect = r.request.Suspect || upstreamFailed(e)
 	}
 	return e
 }
 
-// started tells all that follow the entry's own requests.
-func (r *run) started(id bramleytack.UpstreamID) {
+// notifyStarted informs Loads, Granted and the policy that the request has a
+// reservation.
+func (r *routing) notifyStarted(id bramleytack.UpstreamID) {
 	if r.Loads != nil {
-		r.Loads.start(id)
+		r.Loads.requestStarted(id)
 	}
 	if r.Granted != nil {
 		r.Granted(r.request)
@@ -214,26 +220,26 @@
 	}
 }
 
-// release gives a grant back even if the client has left.
-func (r *run) release(ctx context.Context, v bramleytack.Release) {
+// release ends a reservation, even if the caller has disconnected.
+func (r *routing) release(ctx context.Context, v bramleytack.Release) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
-	// Without an answer the owner finds the end by load report or deadline.
+	// If this fails, the owner ends the reservation by load report or deadline.
 	_ = r.Owner.Release(ctx, v)
 }
 
-func (r *run) mayRepeat(ctx context.Context, err *bramleytack.Error) bool {
-	if ctx.Err() != nil || r.delivered || final(err.Code) || r.Retry == nil {
+func (r *routing) mayRetry(ctx context.Context, err *bramleytack.Error) bool {
+	if ctx.Err() != nil || r.delivered || isFinal(err.Code) || r.Retry == nil {
 		return false
 	}
 	if err.Outcome == bramleytack.NotRun {
 		return true
 	}
-	return r.runs < maxRuns && r.repeatable()
+	return r.runs < maxRuns && r.mayRunTwice()
 }
 
-// repeatable says whether the request may run twice.
-func (r *run) repeatable() bool {
+// mayRunTwice reports whether the request may run more than once.
+func (r *routing) mayRunTwice() bool {
 	req := r.request
 	if req.Kind == bramleytack.Generate {
 		return true
@@ -245,7 +251,9 @@
 	return ok && slices.Contains(s.IdempotentMethods, req.Method)
 }
 
-func (r *run) wait(ctx context.Context, attempt int) bool {
+// waitForAttempt waits for the backoff before an attempt and reports whether
+// the attempt may be made.
+func (r *routing) waitForAttempt(ctx context.Context, attempt int) bool {
 	deadline := r.request.Deadline
 	d, ok := r.Retry.Next(attempt, deadline)
 	if !ok || (!deadline.IsZero() && !r.Timer.Now().Add(d).Before(deadline)) {
@@ -261,8 +269,8 @@
 	return f.NewGrant()
 }
 
-// final says whether another upstream would give the same answer.
-func final(c bramleytack.Code) bool {
+// isFinal reports whether another upstream would return the same error.
+func isFinal(c bramleytack.Code) bool {
 	switch c {
 	case bramleytack.CodeBadRequest, bramleytack.CodeBodyTooLarge,
 		bramleytack.CodeUnauthenticated, bramleytack.CodeForbidden,
@@ -277,18 +285,18 @@
 	}
 }
 
-// failed says whether the upstream failed, in contrast to a refusal, a
-// deadline or a client that left.
-func failed(e *bramleytack.Error) bool {
+// upstreamFailed reports whether the upstream failed, as opposed to a
+// rejection, an expired deadline or a caller that disconnected.
+func upstreamFailed(e *bramleytack.Error) bool {
 	if e == nil {
 		return false
 	}
 	return e.Code == bramleytack.CodeUpstreamFailed || e.Code == bramleytack.CodeIncomplete
 }
 
-// worse returns the outcome that promises less to a caller who wants to
-// repeat the request.
-func worse(a, b bramleytack.Outcome) bramleytack.Outcome {
+// combineOutcomes returns the outcome of two attempts together: Ran if one ran,
+// else Unknown if one may have run, else NotRun.
+func combineOutcomes(a, b bramleytack.Outcome) bramleytack.Outcome {
 	if a == bramleytack.Ran || b == bramleytack.Ran {
 		return bramleytack.Ran
 	}
--- a/btroute/filter_test.go
+++ b/btroute/filter_test.go
@@ -17,45 +17,48 @@
 
 func (f fixedSnapshot) Snapshot() *bramleytack.Snapshot { return f.s }
 
-// ledger is an Owner that records open grants.
-type ledger struct {
+// recordingOwner is an Owner that records its calls and the open grants.
+type recordingOwner struct {
 	open     map[bramleytack.GrantID]bool
 	offered  []bramleytack.UpstreamID
 	requests []bramleytack.RequestID
 	releases []bramleytack.Release
 	suspects int
 	mu       sync.Mutex
-	refuse   map[bramleytack.UpstreamID]error
+	reject   map[bramleytack.UpstreamID]error
 }
 
-func (l *ledger) Reserve(_ context.Context, r bramleytack.Reservation) (bramleytack.Grant, error) {
-	l.offered = append(l.offered, r.Upstream)
-	l.requests = append(l.requests, r.Request)
+func (o *recordingOwner) Reserve(_ context.Context, r bramleytack.Reservation) (bramleytack.Grant, error) {
+	o.offered = append(o.offered, r.Upstream)
+	o.requests = append(o.requests, r.Request)
 	if r.Suspect {
-		l.suspects++
+		o.suspects++
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if err := l.refuse[r.Upstream]; err != nil {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if err := o.reject[r.Upstream]; err != nil {
 		return bramleytack.Grant{}, err
 	}
-	l.open[r.Grant] = true
+	o.open[r.Grant] = true
 	return bramleytack.Grant{ID: r.Grant, Upstream: r.Upstream}, nil
 }
 
-func (l *ledger) Release(_ context.Context, r bramleytack.Release) error {
-	delete(l.open, r.Grant)
-	l.releases = append(l.releases, r)
+func (o *recordingOwner) Release(_ context.Context, r bramleytack.Release) error {
+	delete(o.open, r.Grant)
+	o.releases = append(o.releases, r)
 	return nil
 }
 
-type nullReply struct{ opened, tokens int }
+type nullWriter struct{ opened, tokens int }
 
-func (n *nullReply) Open(bramleytack.Opening) error      { n.opened++; return nil }
-func (n *nullReply) Token(bramleytack.Token) error       { n.tokens++; return nil }
-func (n *nullReply) Close(bramleytack.Completion) error  { return nil }
-func (n *nullReply) Respond(*bramleytack.Response) error { return nil }
-func upstreams(ids ...bramleytack.UpstreamID) *bramleytack.Snapshot {
+func (n *nullWriter) Open(bramleytack.Opening) error      { n.opened++; return nil }
+func (n *nullWriter) Token(bramleytack.Token) error       { n.tokens++; return nil }
+func (n *nullWriter) Close(bramleytack.Completion) error  { return nil }
+func (n *nullWriter) Respond(*bramleytack.Response) error { return nil }
+
+// newSnapshot returns a snapshot with the model "m" and the service "s" on all
+// given upstreams, which are in the failure domain "d".
+func newSnapshot(ids ...bramleytack.UpstreamID) *bramleytack.Snapshot {
 	s := &bramleytack.Snapshot{
 		Models:         map[string]*bramleytack.Model{"m": {Name: "m"}},
 		Services:       map[string]*bramleytack.ServiceRecord{"s": {Name: "s", IdempotentMethods: []string{"PUT"}}},
@@ -74,9 +77,9 @@
 }
 
 // Guards against a second run of a call that must run once, a repeat after
-// tokens reached the client, a reservation that is never released, and a
-// "not run" outcome after an attempt that may have run.
-func TestFilterRepeats(t *testing.T) {
+// tokens reached the caller, a reservation that is never released, and the
+// outcome NotRun after an attempt that may have run.
+func TestFilterRetries(t *testing.T) {
 	fail := func(o bramleytack.Outcome) error {
 		return bramleytack.NewError(bramleytack.CodeUpstreamFailed, o, "failed")
 	}
@@ -104,7 +107,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, owner := newFilter(t, upstreams("a", "b", "c", "d"))
+				f, owner := newFilter(t, newSnapshot("a", "b", "c", "d"))
 				attempts := 0
 				next := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 					attempts++
@@ -116,7 +119,7 @@
 					}
 					return c.errs[attempts-1]
 				})
-				w := &nullReply{}
+				w := &nullWriter{}
 				err := f.Handle(t.Context(), &c.request, w, next)
 				assert.Equal(t, attempts, c.attempts)
 				assert.Equal(t, bramleytack.OutcomeOf(err), c.outcome)
@@ -128,74 +131,75 @@
 	}
 }
 
-// Guards against the place of a generation being given away that its upstream has
-// not named yet and therefore nobody can cancel.
-func TestUnnamedGenerationIsAbandoned(t *testing.T) {
+// Guards against releasing the capacity of a generation that still runs and
+// that nobody can cancel, because its upstream sent no opening with its name.
+func TestUnopenedGenerationIsAbandoned(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		open      bool
 		err       error
 		abandoned bool
 	}{
-		{"caller left before the name", false, context.Canceled, true},
-		{"caller left after the name", true, context.Canceled, false},
+		{"caller disconnects before the opening", false, context.Canceled, true},
+		{"caller disconnects after the opening", true, context.Canceled, false},
 		{"refused", false, bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "full"), false},
 		{"complete", true, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, owner := newFilter(t, upstreams("a"))
+				f, owner := newFilter(t, newSnapshot("a"))
 				next := bramleytack.HandlerFunc(func(_ context.Context, _ *bramleytack.Request, w bramleytack.ResponseWriter) error {
 					if test.open {
 						_ = w.Open(bramleytack.Opening{})
 					}
 					return test.err
 				})
-				_ = f.Handle(t.Context(), &bramleytack.Request{Kind: bramleytack.Generate, Model: "m"}, &nullReply{}, next)
+				_ = f.Handle(t.Context(), &bramleytack.Request{Kind: bramleytack.Generate, Model: "m"}, &nullWriter{}, next)
 				assert.Equal(t, owner.releases[0].Abandoned, test.abandoned)
 			})
 		})
 	}
 }
 
-// Guards against giving up, or failing with a wrong outcome, when owners
-// refuse or do not answer; and against a suspect that runs beside others.
+// Guards against a request that fails, or gets a wrong outcome, when owners
+// reject reservations or do not reply, and against a suspect that is not
+// reserved as one or moves to another upstream.
 func TestFilterReservations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, owner := newFilter(t, upstreams("a", "b", "c"))
-		owner.refuse = map[bramleytack.UpstreamID]error{
+		f, owner := newFilter(t, newSnapshot("a", "b", "c"))
+		owner.reject = map[bramleytack.UpstreamID]error{
 			"a": bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "full"),
 			"c": context.DeadlineExceeded,
 		}
 		r := &bramleytack.Request{Kind: bramleytack.Generate, Model: "m"}
 		ok := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error { return nil })
-		assert.NilError(t, f.Handle(t.Context(), r, &nullReply{}, ok))
+		assert.NilError(t, f.Handle(t.Context(), r, &nullWriter{}, ok))
 		assert.Equal(t, r.Target.Upstream.ID, bramleytack.UpstreamID("b"))
-		assert.Equal(t, len(owner.releases), 2, "the reservation without an answer is released too")
+		assert.Equal(t, len(owner.releases), 2, "the reservation without a reply must be released too")
 
-		owner.refuse["b"] = context.DeadlineExceeded
-		err := f.Handle(t.Context(), r, &nullReply{}, ok)
+		owner.reject["b"] = context.DeadlineExceeded
+		err := f.Handle(t.Context(), r, &nullWriter{}, ok)
 		assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
 
-		owner.refuse = nil
+		owner.reject = nil
 		crash := bramleytack.HandlerFunc(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error {
 			return bramleytack.NewError(bramleytack.CodeUpstreamFailed, bramleytack.Unknown, "crashed")
 		})
-		assert.Assert(t, f.Handle(t.Context(), r, &nullReply{}, crash) != nil)
+		assert.Assert(t, f.Handle(t.Context(), r, &nullWriter{}, crash) != nil)
 		assert.Equal(t, owner.suspects, 1)
 
-		// A suspect waits for one upstream that drains.
+		// A suspect waits for one upstream to drain.
 		owner.offered = nil
 		full := bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "full")
-		owner.refuse = map[bramleytack.UpstreamID]error{"a": full, "b": full, "c": full}
+		owner.reject = map[bramleytack.UpstreamID]error{"a": full, "b": full, "c": full}
 		r.Suspect = true
 		go func() {
 			_ = f.Timer.Sleep(t.Context(), 5*time.Second)
 			owner.mu.Lock()
 			defer owner.mu.Unlock()
-			owner.refuse = nil
+			owner.reject = nil
 		}()
-		assert.NilError(t, f.Handle(t.Context(), r, &nullReply{}, ok))
+		assert.NilError(t, f.Handle(t.Context(), r, &nullWriter{}, ok))
 		for _, id := range owner.offered {
 			assert.Equal(t, id, owner.offered[0])
 		}
@@ -206,51 +210,51 @@
 // and against quarantined requests that run.
 func TestFilterCandidates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := upstreams("a")
+		s := newSnapshot("a")
 		f, owner := newFilter(t, s)
 		r := &bramleytack.Request{Kind: bramleytack.Generate, Model: "m"}
-		assertRefused := func(code bramleytack.Code) {
+		assertRejected := func(code bramleytack.Code) {
 			t.Helper()
-			e := bramleytack.AsError(f.Handle(t.Context(), r, &nullReply{}, nil))
+			e := bramleytack.AsError(f.Handle(t.Context(), r, &nullWriter{}, nil))
 			assert.Equal(t, e.Code, code)
 			assert.Equal(t, e.Outcome, bramleytack.NotRun)
 			assert.Equal(t, len(owner.offered), 0)
 		}
 		s.Upstreams["a"].Cell = "other"
-		assertRefused(bramleytack.CodeNoUpstream)
+		assertRejected(bramleytack.CodeNoUpstream)
 		s.Upstreams["a"].Cell = ""
 		s.FailureDomains["d"].State = bramleytack.DomainOut
-		assertRefused(bramleytack.CodeNoUpstream)
+		assertRejected(bramleytack.CodeNoUpstream)
 		s.Quarantined = map[string]bool{r.Fingerprint().String(): true}
-		assertRefused(bramleytack.CodeQuarantined)
+		assertRejected(bramleytack.CodeQuarantined)
 		s.Quarantined = nil
 		r.Model = "other"
-		assertRefused(bramleytack.CodeUnknownModel)
+		assertRejected(bramleytack.CodeUnknownModel)
 	})
 }
 
-// Guards against reservations under another name than the load report of the
-// engine uses, which would count each request twice.
-func TestReservationHasTheAttemptsName(t *testing.T) {
+// Guards against reservations under another id than the engine's load report
+// uses, which would count each request twice.
+func TestReservationUsesAttemptID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, owner := newFilter(t, upstreams("a", "b"))
+		f, owner := newFilter(t, newSnapshot("a", "b"))
 		r := &bramleytack.Request{ID: "r", Kind: bramleytack.Generate, Model: "m"}
 		var sent []bramleytack.RequestID
-		refuse := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
+		reject := bramleytack.HandlerFunc(func(_ context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 			sent = append(sent, r.AttemptID())
 			return bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "full")
 		})
-		assert.Assert(t, f.Handle(t.Context(), r, &nullReply{}, refuse) != nil)
+		assert.Assert(t, f.Handle(t.Context(), r, &nullWriter{}, reject) != nil)
 		assert.Assert(t, len(sent) > 1)
 		assert.DeepEqual(t, owner.requests, sent)
 	})
 }
 
-func newFilter(t testing.TB, s *bramleytack.Snapshot) (*Filter, *ledger) {
+func newFilter(t testing.TB, s *bramleytack.Snapshot) (*Filter, *recordingOwner) {
 	t.Helper()
 	timers := bttimer.New(1)
 	t.Cleanup(timers.Close)
-	owner := &ledger{open: map[bramleytack.GrantID]bool{}}
+	owner := &recordingOwner{open: map[bramleytack.GrantID]bool{}}
 	return &Filter{
 		Snapshots: fixedSnapshot{s},
 		Owner:     owner,
--- a/btroute/loads.go
+++ b/btroute/loads.go
@@ -11,46 +11,48 @@
 	// digestValidity is how long a digest is used for scoring. Owners send
 	// one about every second.
 	digestValidity = 5 * time.Second
-	// refusalTime is how long an upstream counts as full after a refusal
-	// without advice, and maxRefusalTime the longest time.
-	refusalTime    = 100 * time.Millisecond
-	maxRefusalTime = time.Second
+	// defaultRejectionTime is how long an upstream counts as full after a
+	// rejection without a retry time. maxRejectionTime bounds that time.
+	defaultRejectionTime = 100 * time.Millisecond
+	maxRejectionTime     = time.Second
 )
 
-// Load is what the entry knows of an upstream's load.
+// Load is an entry's information about the load of an upstream.
 type Load struct {
 	// InFlight counts the entry's own requests on the upstream.
 	InFlight int
-	// Known is set when there is a recent digest. Then Running is its count,
-	// corrected by the entry's own requests since, and Limit, Memory and Warm
-	// are its figures.
+	// Known is set when there is a recent digest. Only then are the next four
+	// fields set. Running and Memory include an estimate for the entry's own
+	// requests since the digest. Limit is the concurrency limit, Memory the
+	// forecast peak as a share of the memory.
 	Known   bool
 	Running int
 	Limit   int
 	Memory  float64
 	Warm    bool
-	// Leaving is set when the owner offers no more places.
+	// Leaving is set when the owner grants no more reservations.
 	Leaving bool
-	// Refused is set for a short time after the owner refused a reservation.
-	Refused bool
+	// Rejected is set for a short time after the owner rejected a reservation.
+	Rejected bool
 }
 
-// record is the load of one upstream as it is kept.
-type record struct {
+// upstreamLoad is the stored load of one upstream.
+type upstreamLoad struct {
 	digest     bramleytack.UpstreamDigest
 	receivedAt time.Time
 	inFlight   int
-	// change is the number of own requests that started less those that ended
-	// since the digest.
-	change       int
-	refusedUntil time.Time
+	// netStarted is the number of own requests that started since the digest,
+	// less those that ended.
+	netStarted    int
+	rejectedUntil time.Time
 }
 
-// Loads holds the load of upstreams and implements ModelIndex. The zero value is
-// ready for use.
+// Loads holds the load of upstreams, and implements ModelIndex and
+// VersionFallback. The zero value is ready for use. It is safe for concurrent
+// use.
 type Loads struct {
 	mu        sync.RWMutex
-	upstreams map[bramleytack.UpstreamID]*record
+	upstreams map[bramleytack.UpstreamID]*upstreamLoad
 }
 
 // Load returns the load of an upstream.
@@ -61,23 +63,25 @@
 	if !ok {
 		return Load{}
 	}
-	load := Load{InFlight: r.inFlight, Leaving: r.digest.Leaving, Refused: now.Before(r.refusedUntil)}
+	load := Load{InFlight: r.inFlight, Leaving: r.digest.Leaving, Rejected: now.Before(r.rejectedUntil)}
 	if r.receivedAt.IsZero() || now.Sub(r.receivedAt) > digestValidity {
 		return load
 	}
 	load.Known = true
-	load.Running = max(r.digest.Running+r.change, r.inFlight, 0)
+	load.Running = max(r.digest.Running+r.netStarted, r.inFlight, 0)
 	load.Limit = r.digest.Limit
 	load.Memory = r.digest.Memory
 	load.Warm = r.digest.Warm
-	if r.change > 0 && r.digest.Running > 0 {
-		// Each own request since adds what the others use on average.
-		load.Memory += r.digest.Memory / float64(r.digest.Running) * float64(r.change)
+	if r.netStarted > 0 && r.digest.Running > 0 {
+		// Assume that each own request since the digest uses as much memory
+		// as the others on average.
+		load.Memory += r.digest.Memory / float64(r.digest.Running) * float64(r.netStarted)
 	}
 	return load
 }
 
-// SetDigest takes a digest, unless a newer one is known.
+// SetDigest stores a digest that arrived at now. It ignores a digest that is
+// older than the stored one, unless that has expired.
 func (l *Loads) SetDigest(now time.Time, d bramleytack.UpstreamDigest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,13 +91,13 @@
 	}
 	r.digest = d
 	r.receivedAt = now
-	r.change = 0
+	r.netStarted = 0
 	if d.Running < d.Limit {
-		r.refusedUntil = time.Time{}
+		r.rejectedUntil = time.Time{}
 	}
 }
 
-// Digest returns the last digest of an upstream, however old.
+// Digest returns the last digest of an upstream, even if it has expired.
 func (l *Loads) Digest(id bramleytack.UpstreamID) (bramleytack.UpstreamDigest, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -104,7 +108,7 @@
 	return r.digest, true
 }
 
-// HasModel implements ModelIndex by the last digest of the upstream.
+// HasModel implements ModelIndex with the last digest of the upstream.
 func (l *Loads) HasModel(id bramleytack.UpstreamID, want bramleytack.LoadedModel) bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -120,7 +124,7 @@
 	return false
 }
 
-// OtherVersion implements VersionFallback by the last digest of the upstream.
+// OtherVersion implements VersionFallback with the last digest of the upstream.
 func (l *Loads) OtherVersion(id bramleytack.UpstreamID, want bramleytack.LoadedModel) (string, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -136,7 +140,8 @@
 	return "", false
 }
 
-// Retain forgets the upstreams that are not in the snapshot.
+// Retain removes the upstreams that are not in the snapshot and have no
+// requests of this entry in flight.
 func (l *Loads) Retain(s *bramleytack.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,40 +152,41 @@
 	}
 }
 
-// record returns the record of an upstream. The caller holds mu.
-func (l *Loads) record(id bramleytack.UpstreamID) *record {
+// record returns the stored load of an upstream and creates it if there is
+// none. The caller holds mu.
+func (l *Loads) record(id bramleytack.UpstreamID) *upstreamLoad {
 	if l.upstreams == nil {
-		l.upstreams = make(map[bramleytack.UpstreamID]*record)
+		l.upstreams = make(map[bramleytack.UpstreamID]*upstreamLoad)
 	}
 	r, ok := l.upstreams[id]
 	if !ok {
-		r = &record{}
+		r = &upstreamLoad{}
 		l.upstreams[id] = r
 	}
 	return r
 }
 
-func (l *Loads) start(id bramleytack.UpstreamID) {
+func (l *Loads) requestStarted(id bramleytack.UpstreamID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(id)
 	r.inFlight++
-	r.change++
+	r.netStarted++
 }
 
-func (l *Loads) end(id bramleytack.UpstreamID) {
+func (l *Loads) requestEnded(id bramleytack.UpstreamID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.record(id)
 	r.inFlight = max(0, r.inFlight-1)
-	r.change--
+	r.netStarted--
 }
 
-func (l *Loads) refuse(now time.Time, id bramleytack.UpstreamID, d time.Duration) {
+func (l *Loads) recordRejection(now time.Time, id bramleytack.UpstreamID, d time.Duration) {
 	if d <= 0 {
-		d = refusalTime
+		d = defaultRejectionTime
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.record(id).refusedUntil = now.Add(min(d, maxRefusalTime))
+	l.record(id).rejectedUntil = now.Add(min(d, maxRejectionTime))
 }
--- a/btroute/policy.go
+++ b/btroute/policy.go
@@ -12,7 +12,7 @@
 type Candidate struct {
 	Upstream *bramleytack.Upstream
 	Load     Load
-	// Version is the version of the model that the upstream is asked for.
+	// Version is the model version that the request will ask the upstream for.
 	Version string
 }
 
@@ -33,12 +33,15 @@
 	Pick(q Query, candidates []Candidate) int
 }
 
-// Observer is a Policy that is told of each request that an upstream gets.
+// Observer is implemented by a Policy that records which requests the upstreams
+// get.
 type Observer interface {
+	// Started is called when a request has got a reservation, before it is sent.
 	Started(now time.Time, r *bramleytack.Request, id bramleytack.UpstreamID)
 }
 
-// IntN returns a random number in [0, n). A nil IntN uses the global source.
+// IntN returns a random number in [0, n). If it is nil, the global source is
+// used.
 type IntN func(n int) int
 
 func (f IntN) draw(n int) int {
@@ -48,8 +51,8 @@
 	return f(n)
 }
 
-// two returns two different indices below n, which is at least 2.
-func (f IntN) two(n int) (int, int) {
+// pair returns two different random indices below n, which is at least 2.
+func (f IntN) pair(n int) (int, int) {
 	i, j := f.draw(n), f.draw(n-1)
 	if j >= i {
 		j++
@@ -65,7 +68,8 @@
 	return int((p.count.Add(1) - 1) % uint64(len(candidates)))
 }
 
-// LeastInFlight picks the candidate with the fewest requests of this entry.
+// LeastInFlight picks the candidate with the fewest requests of this entry in
+// flight.
 type LeastInFlight struct{ IntN IntN }
 
 // Pick returns the index of the least loaded candidate. The scan starts at a
@@ -83,8 +87,8 @@
 	return best
 }
 
-// TwoRandom draws two candidates and picks the one with fewer requests of
-// this entry.
+// TwoRandom picks the one of two random candidates with fewer requests of this
+// entry in flight.
 type TwoRandom struct{ IntN IntN }
 
 // Pick returns the index of the less loaded of two random candidates.
@@ -92,7 +96,7 @@
 	if len(candidates) == 1 {
 		return 0
 	}
-	i, j := p.IntN.two(len(candidates))
+	i, j := p.IntN.pair(len(candidates))
 	if candidates[j].Load.InFlight < candidates[i].Load.InFlight {
 		return j
 	}
--- a/btroute/recorder.go
+++ b/btroute/recorder.go
@@ -6,13 +6,13 @@
 	"bramleytack"
 )
 
-// recorder passes an answer on and records whether any of it was passed on.
-// It holds the opening back until the first token, so that an attempt which
-// fails before its first token leaves nothing at the client.
+// recorder passes a response on and records whether it has passed on any part.
+// It delays the opening until the first token, so that the caller gets nothing
+// from an attempt that fails before.
 type recorder struct {
-	reply bramleytack.ResponseWriter
-	timer bramleytack.Timer
-	start time.Time
+	writer bramleytack.ResponseWriter
+	timer  bramleytack.Timer
+	start  time.Time
 
 	opening    *bramleytack.Opening
 	delivered  bool
@@ -20,10 +20,11 @@
 	firstToken time.Duration
 }
 
-// unopened says that the upstream has not named the generation.
-func (r *recorder) unopened() bool { return r.opening == nil && !r.delivered }
+// neverOpened reports whether the upstream sent no opening, which names the
+// generation.
+func (r *recorder) neverOpened() bool { return r.opening == nil && !r.delivered }
 
-// Open keeps the opening for the first token.
+// Open stores the opening until the first token.
 func (r *recorder) Open(o bramleytack.Opening) error {
 	r.opening = &o
 	return nil
@@ -35,32 +36,33 @@
 		r.firstToken = max(r.timer.Now().Sub(r.start), 1)
 	}
 	r.tokens++
-	if err := r.flush(); err != nil {
+	if err := r.deliverOpening(); err != nil {
 		return err
 	}
-	return r.reply.Token(t)
+	return r.writer.Token(t)
 }
 
 // Close ends the generation.
 func (r *recorder) Close(c bramleytack.Completion) error {
-	if err := r.flush(); err != nil {
+	if err := r.deliverOpening(); err != nil {
 		return err
 	}
-	return r.reply.Close(c)
+	return r.writer.Close(c)
 }
 
-// Respond passes a service's answer on.
+// Respond passes the response of a service on.
 func (r *recorder) Respond(resp *bramleytack.Response) error {
 	r.delivered = true
-	return r.reply.Respond(resp)
+	return r.writer.Respond(resp)
 }
 
-func (r *recorder) flush() error {
+// deliverOpening passes the stored opening on, if there is one.
+func (r *recorder) deliverOpening() error {
 	r.delivered = true
 	if r.opening == nil {
 		return nil
 	}
 	o := *r.opening
 	r.opening = nil
-	return r.reply.Open(o)
+	return r.writer.Open(o)
 }
--- a/btroute/retry.go
+++ b/btroute/retry.go
@@ -9,47 +9,50 @@
 	"bramleytack"
 )
 
-// Retry decides about further attempts.
+// Retry decides whether a request gets further attempts.
 type Retry interface {
-	// Next returns how long to wait before an attempt, which counts from 2,
-	// and whether it may be made at all.
+	// Next returns how long to wait before an attempt and whether it may be
+	// made at all. The first call for a request is for attempt 2.
 	Next(attempt int, deadline time.Time) (time.Duration, bool)
 }
 
 // Defaults of a Backoff.
 const (
-	defaultAttempts = 4
-	defaultBase     = 10 * time.Millisecond
-	defaultMax      = 500 * time.Millisecond
-	defaultBudget   = 100.0
-	defaultRefill   = 50.0
+	defaultMaxAttempts     = 4
+	defaultInitialWait     = 10 * time.Millisecond
+	defaultMaxWait         = 500 * time.Millisecond
+	defaultBudget          = 100.0
+	defaultRefillPerSecond = 50.0
 )
 
-// Backoff allows a bounded number of attempts with a budget over all requests
-// and random, exponentially growing waits. The first repeat goes to another
-// upstream at once. Zero fields take defaults.
+// Backoff is a Retry with a bounded number of attempts, a common budget for all
+// requests, and random waits whose mean grows exponentially. The second attempt
+// is made without a wait, since it goes to another upstream. Zero fields take
+// defaults. It is safe for concurrent use.
 type Backoff struct {
-	Timer    bramleytack.Timer
-	Attempts int
-	// Base is the mean wait before the third attempt, Max the longest wait.
-	Base time.Duration
-	Max  time.Duration
-	// Budget is the number of repeats that may be made at once, PerSecond the
-	// rate at which it recovers. It bounds the load that repeats add while
+	Timer       bramleytack.Timer
+	MaxAttempts int
+	// InitialWait is the mean wait before the third attempt. It doubles with
+	// each attempt up to MaxWait. A wait is between half and 1.5 times the mean.
+	InitialWait time.Duration
+	MaxWait     time.Duration
+	// Budget is the number of repeated attempts in a burst, RefillPerSecond
+	// the rate at which it recovers. It bounds the load that they add while
 	// many upstreams fail.
-	Budget    float64
-	PerSecond float64
-	// Float draws from [0, 1). A nil Float uses the global source.
+	Budget          float64
+	RefillPerSecond float64
+	// Float returns a random number in [0, 1). If it is nil, the global source
+	// is used.
 	Float func() float64
 
-	mu    sync.Mutex
-	spent float64
-	at    time.Time
+	mu        sync.Mutex
+	spent     float64
+	updatedAt time.Time
 }
 
 // Next implements Retry.
 func (b *Backoff) Next(attempt int, deadline time.Time) (time.Duration, bool) {
-	if attempt > cmp.Or(b.Attempts, defaultAttempts) {
+	if attempt > cmp.Or(b.MaxAttempts, defaultMaxAttempts) {
 		return 0, false
 	}
 	b.mu.Lock()
@@ -59,8 +62,8 @@
 	if !deadline.IsZero() && !now.Add(d).Before(deadline) {
 		return 0, false
 	}
-	b.spent = max(0, b.spent-now.Sub(b.at).Seconds()*cmp.Or(b.PerSecond, defaultRefill))
-	b.at = now
+	b.spent = max(0, b.spent-now.Sub(b.updatedAt).Seconds()*cmp.Or(b.RefillPerSecond, defaultRefillPerSecond))
+	b.updatedAt = now
 	if b.spent+1 > cmp.Or(b.Budget, defaultBudget) {
 		return 0, false
 	}
@@ -72,8 +75,8 @@
 	if attempt <= 2 {
 		return 0
 	}
-	limit := cmp.Or(b.Max, defaultMax)
-	d := cmp.Or(b.Base, defaultBase)
+	limit := cmp.Or(b.MaxWait, defaultMaxWait)
+	d := cmp.Or(b.InitialWait, defaultInitialWait)
 	for i := 3; i < attempt && d < limit; i++ {
 		d *= 2
 	}
--- a/btroute/scored.go
+++ b/btroute/scored.go
@@ -6,38 +6,43 @@
 	"bramleytack"
 )
 
-// Weights of a score. A score is a load between 0 and 1 plus these.
+// Weights of a score. A score is a load, usually between 0 and 1, plus the
+// costs and less the gain. The lowest score is the best.
 const (
-	// fullCost keeps candidates without a free place behind all others.
+	// fullCost is the load of an upstream without a free slot, which usually
+	// ranks it behind the others.
 	fullCost = 2.0
-	// refusedCost applies for a short time after a refusal.
-	refusedCost = 1.0
-	// unknownLoad is assumed without a recent digest.
+	// rejectedCost applies for a short time after a rejection.
+	rejectedCost = 1.0
+	// unknownLoad is assumed for an upstream without a recent digest.
 	unknownLoad = 0.7
-	// coldCost is for requests that may run long, which a cold upstream slows
-	// down all the while. Short ones go to cold upstreams and warm them.
+	// coldCost is for requests that may run long at a cold upstream, which
+	// slows them down throughout. Short requests are sent to cold upstreams to
+	// warm them up.
 	coldCost = 0.3
-	// shortOutput is the caller's bound on the output up to which a request is
-	// short.
-	shortOutput = 512
-	// regionCost and remoteCost are for another failure domain of the same
-	// region and for another region.
-	regionCost = 0.05
-	remoteCost = 0.3
-	// affinityGain is for a prompt that is cached as a whole.
-	affinityGain = 0.35
+	// maxShortOutput is the greatest output limit, in tokens, of a short
+	// request.
+	maxShortOutput = 512
+	// otherDomainCost is for another failure domain in the same region,
+	// otherRegionCost for another region.
+	otherDomainCost = 0.05
+	otherRegionCost = 0.3
+	// cachedPrefixGain is for a prompt whose prefixes are all cached.
+	cachedPrefixGain = 0.35
 )
 
-// Scored draws two candidates and picks the one with the better score. An
-// upstream that has the prompt's prefix cached is compared with them. After a
-// refusal it picks the best of the candidates that remain.
+// Scored picks the better of two random candidates by score. It also compares
+// the candidates that have a prefix of the prompt cached and, for a short
+// request, those that are cold. From the second attempt on it compares all
+// candidates. For a suspect it picks the one with the fewest requests.
 type Scored struct {
 	// Domain is the failure domain of this entry.
 	Domain bramleytack.FailureDomainID
 	// Prefixes may be nil.
 	Prefixes *Prefixes
-	// AvoidCold keeps interactive requests, instead of long ones, away from
-	// cold upstreams.
+	// AvoidCold applies the cost of cold upstreams to interactive requests
+	// instead of long ones. Cold candidates are then not added to the
+	// comparison for short requests.
 	AvoidCold bool
 	IntN      IntN
 }
@@ -52,7 +57,7 @@
 		return 0
 	}
 	if q.Suspect {
-		return emptiest(candidates)
+		return leastRunning(candidates)
 	}
 	best, score := -1, 0.0
 	consider := func(i int) {
@@ -61,22 +66,23 @@
 			best, score = i, s
 		}
 	}
-	// The random first two also break ties between entries.
-	i, j := p.IntN.two(len(candidates))
+	// Starting with a random pair makes entries break ties differently.
+	i, j := p.IntN.pair(len(candidates))
 	consider(i)
 	consider(j)
 	for k := range candidates {
 		_, cached := matches[candidates[k].Upstream.ID]
-		warmer := !p.AvoidCold && short(q.Request) && candidates[k].Load.Known && !candidates[k].Load.Warm
-		if cached || warmer || q.Attempt > 1 {
+		coldForShort := !p.AvoidCold && isShort(q.Request) && candidates[k].Load.Known && !candidates[k].Load.Warm
+		if cached || coldForShort || q.Attempt > 1 {
 			consider(k)
 		}
 	}
 	return best
 }
 
-// emptiest returns the candidate that a suspect can have to itself soonest.
-func emptiest(candidates []Candidate) int {
+// leastRunning returns the candidate with the fewest requests, which will drain
+// soonest for a suspect.
+func leastRunning(candidates []Candidate) int {
 	best := 0
 	for i := range candidates {
 		if candidates[i].Load.Running < candidates[best].Load.Running {
@@ -89,20 +95,20 @@
 // Started implements Observer.
 func (p *Scored) Started(now time.Time, r *bramleytack.Request, id bramleytack.UpstreamID) {
 	if p.Prefixes != nil && r.Kind == bramleytack.Generate {
-		p.Prefixes.Sent(now, id, PrefixHashes(r.Model, r.Prompt))
+		p.Prefixes.RecordPrompt(now, id, PrefixHashes(r.Model, r.Prompt))
 	}
 }
 
 // score rates a candidate. Lower is better.
 func (p *Scored) score(q Query, c *Candidate, matches map[bramleytack.UpstreamID]float64) float64 {
-	s := p.load(q, &c.Load) + p.distance(q.Snapshot, c.Upstream.FailureDomain)
-	if c.Load.Refused {
-		s += refusedCost
+	s := p.loadScore(q, &c.Load) + p.domainCost(q.Snapshot, c.Upstream.FailureDomain)
+	if c.Load.Rejected {
+		s += rejectedCost
 	}
-	return s - affinityGain*matches[c.Upstream.ID]
+	return s - cachedPrefixGain*matches[c.Upstream.ID]
 }
 
-func (p *Scored) load(q Query, l *Load) float64 {
+func (p *Scored) loadScore(q Query, l *Load) float64 {
 	if !l.Known {
 		return unknownLoad + float64(l.InFlight)/100
 	}
@@ -110,33 +116,33 @@
 		return fullCost
 	}
 	s := max(float64(l.Running)/float64(l.Limit), l.Memory)
-	if !l.Warm && p.slowed(q.Request) {
+	if !l.Warm && p.avoidsCold(q.Request) {
 		s += coldCost
 	}
 	return s
 }
 
-// slowed says whether a cold upstream costs the request much.
-func (p *Scored) slowed(r *bramleytack.Request) bool {
+// avoidsCold reports whether a request should not go to a cold upstream.
+func (p *Scored) avoidsCold(r *bramleytack.Request) bool {
 	if p.AvoidCold {
 		return r.Priority == bramleytack.Interactive
 	}
-	return !short(r)
+	return !isShort(r)
 }
 
-// short says whether the caller bounds the output to a short one. A call of a
-// service is short.
-func short(r *bramleytack.Request) bool {
-	return r.Kind == bramleytack.Call || (r.MaxTokens > 0 && r.MaxTokens <= shortOutput)
+// isShort reports whether a request has a short output: the caller limits the
+// output to maxShortOutput, or it is a call of a service.
+func isShort(r *bramleytack.Request) bool {
+	return r.Kind == bramleytack.Call || (r.MaxTokens > 0 && r.MaxTokens <= maxShortOutput)
 }
 
-func (p *Scored) distance(s *bramleytack.Snapshot, id bramleytack.FailureDomainID) float64 {
+func (p *Scored) domainCost(s *bramleytack.Snapshot, id bramleytack.FailureDomainID) float64 {
 	if id == p.Domain || p.Domain == "" {
 		return 0
 	}
-	own, there := s.FailureDomains[p.Domain], s.FailureDomains[id]
-	if own != nil && there != nil && own.Region == there.Region {
-		return regionCost
+	own, other := s.FailureDomains[p.Domain], s.FailureDomains[id]
+	if own != nil && other != nil && own.Region == other.Region {
+		return otherDomainCost
 	}
-	return remoteCost
+	return otherRegionCost
 }
--- a/btroute/subset.go
+++ b/btroute/subset.go
@@ -10,18 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// defaultSubset is the number of upstreams per model that an entry uses.
-const defaultSubset = 64
+// defaultSubsetSize is the number of upstreams for each model that an entry
+// uses.
+const defaultSubsetSize = 64
 
-// Subset returns the n upstreams that rendezvous hashing gives to an entry, in
-// the order of ups. When an upstream comes or goes, at most one other changes.
+// Subset returns the n upstreams that rendezvous hashing assigns to an entry
+// daemon, in the order of ups. If one upstream is added or removed, at most one
+// other changes.
 func Subset(entry bramleytack.HostID, ups []*bramleytack.Upstream, n int) []*bramleytack.Upstream {
 	if len(ups) <= n {
 		return ups
 	}
 	type ranked struct {
-		rank  uint64
-		place int
+		hash  uint64
+		index int
 	}
 	all := make([]ranked, len(ups))
 	var d xxhash.Digest
@@ -32,24 +34,24 @@
 		_, _ = d.WriteString(string(u.ID))
 		all[i] = ranked{d.Sum64(), i}
 	}
-	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.place, b.place)) })
+	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.index, b.index)) })
 	all = all[:n]
-	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(a.place, b.place) })
+	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(a.index, b.index) })
 	subset := make([]*bramleytack.Upstream, n)
 	for i, r := range all {
-		subset[i] = ups[r.place]
+		subset[i] = ups[r.index]
 	}
 	return subset
 }
 
-// subsets keeps the subset per model for one snapshot.
-type subsets struct {
+// subsetCache caches the subset for each model of one snapshot.
+type subsetCache struct {
 	mu       sync.Mutex
 	snapshot *bramleytack.Snapshot
 	byModel  map[string][]*bramleytack.Upstream
 }
 
-func (c *subsets) get(s *bramleytack.Snapshot, entry bramleytack.HostID, model string, n int) []*bramleytack.Upstream {
+func (c *subsetCache) get(s *bramleytack.Snapshot, entry bramleytack.HostID, model string, n int) []*bramleytack.Upstream {
 	all := s.ByModel[model]
 	if len(all) <= n {
 		return all
