--- a/btquarantine/table.go
+++ b/btquarantine/table.go
@@ -81,8 +81,8 @@
 }
 
 // ReportCrash makes the requests that were in flight at a crash suspects and
-// reports them to the peers. It quarantines those that ran alone. Call it only
-// if IsCrash reports a crash.
+// reports them to the peers. It quarantines suspects that ran alone. Call it
+// only if IsCrash reports a crash.
 func (t *Table) ReportCrash(u bramleytack.UpstreamID, i bramleytack.InstanceID, fps []bramleytack.Fingerprint) {
 	c := upstreamInstance{u, i}
 	r := Report{Kind: Crashed, Upstream: u, Instance: i, Fingerprints: fps}
--- a/btroute/candidates.go
+++ b/btroute/candidates.go
@@ -7,7 +7,7 @@
 	"bramleytack"
 )
 
-// noUpstreamRetryAfter is when a caller should retry if no upstream can take
+// noUpstreamRetryAfter is the wait advised to callers if no upstream can take
 // the request. A new view or load report arrives in about that time.
 const noUpstreamRetryAfter = time.Second
 
@@ -80,19 +80,19 @@
 		if !q.Snapshot.Accepts(u.ID) || !u.In(f.Cell) {
 			continue
 		}
-		x := Candidate{Upstream: u}
+		candidate := Candidate{Upstream: u}
 		if want != nil {
 			version, ok := f.offeredVersion(u.ID, *want)
 			if !ok {
 				continue
 			}
-			x.Version = version
+			candidate.Version = version
 		}
 		if f.Loads != nil {
-			x.Load = f.Loads.Load(q.Now, u.ID)
+			candidate.Load = f.Loads.Load(q.Now, u.ID)
 		}
-		if !x.Load.Leaving {
-			c = append(c, x)
+		if !candidate.Load.Leaving {
+			c = append(c, candidate)
 		}
 	}
 	return c
@@ -121,15 +121,15 @@
 // triedUpstreams holds the upstreams that a request was offered to in the
 // current round.
 type triedUpstreams struct {
-	seen map[bramleytack.UpstreamID]bool
+	ids  map[bramleytack.UpstreamID]bool
 	last bramleytack.UpstreamID
 }
 
 func (t *triedUpstreams) add(id bramleytack.UpstreamID) {
-	if t.seen == nil {
-		t.seen = make(map[bramleytack.UpstreamID]bool)
+	if t.ids == nil {
+		t.ids = make(map[bramleytack.UpstreamID]bool)
 	}
-	t.seen[id] = true
+	t.ids[id] = true
 	t.last = id
 }
 
@@ -139,11 +139,11 @@
 	if t.last == "" {
 		return c
 	}
-	rest := selectCandidates(c, func(id bramleytack.UpstreamID) bool { return !t.seen[id] })
+	rest := selectCandidates(c, func(id bramleytack.UpstreamID) bool { return !t.ids[id] })
 	if len(rest) > 0 {
 		return rest
 	}
-	clear(t.seen)
+	clear(t.ids)
 	rest = selectCandidates(c, func(id bramleytack.UpstreamID) bool { return id != t.last })
 	if len(rest) > 0 {
 		return rest
@@ -151,6 +151,7 @@
 	return c
 }
 
+// selectCandidates returns the candidates whose upstreams keep accepts.
 func selectCandidates(c []Candidate, keep func(bramleytack.UpstreamID) bool) []Candidate {
 	var rest []Candidate
 	for _, x := range c {
--- a/btroute/recorder.go
+++ b/btroute/recorder.go
@@ -14,7 +14,9 @@
 	timer  bramleytack.Timer
 	start  time.Time
 
-	opening    *bramleytack.Opening
+	// opening is set until it is passed on.
+	opening *bramleytack.Opening
+	// delivered is set once a part of the response is passed on.
 	delivered  bool
 	tokens     int
 	firstToken time.Duration
