--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -49,7 +49,7 @@
 	cell     *btview.Cell
 	owners   *btremote.Owners
 	claims   *btremote.Claims
-	spread   *btremote.Spread
+	spread   *btremote.ConfigSync
 	exchange *btremote.Exchange
 	suspects *btremote.Suspects
 }
@@ -85,11 +85,11 @@
 	for n := range claimShards {
 		c.claims.Shards = append(c.claims.Shards, &btclaim.Shard{Store: d.store, Timer: d.timers, Cell: s.Cell, Number: n, Interval: s.ClaimInterval})
 	}
-	c.spread = &btremote.Spread{Self: s.Host, Node: c.node, Cell: c.cell, Config: d.config, Timer: d.timers, Complete: d.loaded.Load}
-	c.cell.OnConfigRevision = c.spread.Saw
+	c.spread = &btremote.ConfigSync{Self: s.Host, Node: c.node, Cell: c.cell, Config: d.config, Timer: d.timers, Complete: d.loaded.Load}
+	c.cell.OnConfigRevision = c.spread.ObserveRevision
 	c.exchange = &btremote.Exchange{
 		Self: s.Host, Node: c.node, Cell: c.cell, Timer: d.timers, Table: d.table, Loads: d.loads, Limiter: d.limiter,
-		Spread: c.spread, Hosts: d.hosts, Own: d.state,
+		ConfigSync: c.spread, Hosts: d.hosts, OwnState: d.state,
 	}
 	c.suspects = &btremote.Suspects{Self: s.Host, Node: c.node, Cell: c.cell, Table: d.suspects}
 	d.suspects.Notify = c.suspects.Notify
--- a/btremote/spread.go
+++ b/btremote/configsync.go
@@ -26,11 +26,11 @@
 	maxPushBytes = 2 << 20
 )
 
-// Spread passes the configuration on inside a cell. The members form a binary
+// ConfigSync passes the configuration on inside a cell. The members form a binary
 // tree with the coordinator at its root, so each hears of a change once and
 // tells at most two others. A member that learns of a higher revision from a
 // heartbeat pulls what it missed.
-type Spread struct {
+type ConfigSync struct {
 	Self   bramleytack.HostID
 	Node   *btpeer.Node
 	Cell   *btview.Cell
@@ -46,14 +46,14 @@
 
 // Register makes the daemon take pushes and answer pulls. It must be called
 // before Run.
-func (s *Spread) Register(mux *btpeer.Mux) {
+func (s *ConfigSync) Register(mux *btpeer.Mux) {
 	s.behind = make(chan bramleytack.HostID, 1)
 	btpeer.Handle(mux, s.handlePush)
 	btpeer.Handle(mux, s.handlePull)
 }
 
-// Saw tells that a peer has a revision.
-func (s *Spread) Saw(host bramleytack.HostID, r bramleytack.Revision) {
+// ObserveRevision records that a peer has a revision.
+func (s *ConfigSync) ObserveRevision(host bramleytack.HostID, r bramleytack.Revision) {
 	if r <= s.Config.Digest().Revision {
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 // Run pushes and pulls until the context ends.
-func (s *Spread) Run(ctx context.Context) {
+func (s *ConfigSync) Run(ctx context.Context) {
 	changes, cancel := s.Config.Subscribe()
 	defer cancel()
 	var pushed bramleytack.Revision
@@ -82,7 +82,7 @@
 
 // push sends the changes after a revision to the member's children. It returns
 // the revision that was sent.
-func (s *Spread) push(ctx context.Context, after bramleytack.Revision) bramleytack.Revision {
+func (s *ConfigSync) push(ctx context.Context, after bramleytack.Revision) bramleytack.Revision {
 	revision := s.Config.Digest().Revision
 	if after == 0 {
 		// A member that starts knows nothing that its children lack.
@@ -103,7 +103,7 @@
 }
 
 // children returns the members that this one passes changes on to.
-func (s *Spread) children() []bramleytack.HostID {
+func (s *ConfigSync) children() []bramleytack.HostID {
 	v := s.Cell.View()
 	if v == nil {
 		return nil
@@ -137,7 +137,7 @@
 }
 
 // catchUp pulls what a peer has and this member lacks.
-func (s *Spread) catchUp(ctx context.Context, host bramleytack.HostID) {
+func (s *ConfigSync) catchUp(ctx context.Context, host bramleytack.HostID) {
 	if s.Timer.Sleep(ctx, pullDelay) != nil {
 		return
 	}
@@ -147,9 +147,9 @@
 	}
 }
 
-// Compare pulls everything from a peer whose digest differs at the same
+// Reconcile pulls everything from a peer whose digest differs at the same
 // revision: this member or the peer missed a change and knows later ones.
-func (s *Spread) Compare(ctx context.Context, host bramleytack.HostID, d btconfig.Digest) {
+func (s *ConfigSync) Reconcile(ctx context.Context, host bramleytack.HostID, d btconfig.Digest) {
 	if own := s.Config.Digest(); own.Revision == d.Revision && own.Hash != d.Hash {
 		s.pull(ctx, host, 0, true)
 	}
@@ -157,11 +157,11 @@
 
 // Load takes the whole configuration from a peer that has it, for a member that
 // starts while the store is away. It says whether that succeeded.
-func (s *Spread) Load(ctx context.Context, host bramleytack.HostID) bool {
+func (s *ConfigSync) Load(ctx context.Context, host bramleytack.HostID) bool {
 	return s.pull(ctx, host, 0, true)
 }
 
-func (s *Spread) pull(ctx context.Context, host bramleytack.HostID, after bramleytack.Revision, full bool) bool {
+func (s *ConfigSync) pull(ctx context.Context, host bramleytack.HostID, after bramleytack.Revision, full bool) bool {
 	for {
 		ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 		reply, err := btpeer.Call[btwire.ConfigPull, btwire.ConfigObjects](ctx, s.Node, host, &btwire.ConfigPull{
@@ -180,7 +180,7 @@
 	}
 }
 
-func (s *Spread) handlePush(_ context.Context, from bramleytack.HostID, m *btwire.ConfigObjects) (*btwire.ConfigObjectsReply, error) {
+func (s *ConfigSync) handlePush(_ context.Context, from bramleytack.HostID, m *btwire.ConfigObjects) (*btwire.ConfigObjectsReply, error) {
 	own := s.Config.Digest().Revision
 	s.Config.Apply(decodeObjects(m.GetObjects()))
 	if bramleytack.Revision(m.GetAfter()) > own {
@@ -193,7 +193,7 @@
 	return &btwire.ConfigObjectsReply{Revision: uint64(s.Config.Digest().Revision)}, nil
 }
 
-func (s *Spread) handlePull(_ context.Context, _ bramleytack.HostID, m *btwire.ConfigPull) (*btwire.ConfigObjects, error) {
+func (s *ConfigSync) handlePull(_ context.Context, _ bramleytack.HostID, m *btwire.ConfigPull) (*btwire.ConfigObjects, error) {
 	objects := s.Config.Since(bramleytack.Revision(m.GetAfter()))
 	if m.GetFull() {
 		if s.Complete != nil && !s.Complete() {
--- a/btremote/spread_test.go
+++ b/btremote/configsync_test.go
@@ -67,7 +67,7 @@
 
 // Guards against changes that reach a member late or not at all, and against
 // members that go back to an earlier state.
-func TestSpread(t *testing.T) {
+func TestConfigSync(t *testing.T) {
 	for _, f := range []struct {
 		name  string
 		apply func(s *sim)
--- a/btremote/doc.go
+++ b/btremote/doc.go
@@ -2,7 +2,7 @@
 // the other daemons of its cell, over peer links.
 //
 // Owners reserves with the daemon that owns an upstream, Claims begins and
-// finishes claims with the daemon that owns their shard, Spread passes on the
+// finishes claims with the daemon that owns their shard, ConfigSync passes on the
 // configuration, Exchange tells each member the state of every other one, and
 // Suspects shares what is known of crashing requests. Each registers its
 // handlers at a btpeer.Mux and does the calling side as well.
--- a/btremote/exchange.go
+++ b/btremote/exchange.go
@@ -53,17 +53,17 @@
 // Exchange keeps the states of all members of the cell. Each member calls the
 // others in turn; the state of either side travels in one exchange.
 type Exchange struct {
-	Self    bramleytack.HostID
-	Node    *btpeer.Node
-	Cell    *btview.Cell
-	Timer   bramleytack.Timer
-	Table   *btowner.Table
-	Loads   *btroute.Loads
-	Limiter *btlimit.Limiter
-	Spread  *Spread
-	Hosts   *bthost.Watcher
-	// Own returns this member's state.
-	Own func() State
+	Self       bramleytack.HostID
+	Node       *btpeer.Node
+	Cell       *btview.Cell
+	Timer      bramleytack.Timer
+	Table      *btowner.Table
+	Loads      *btroute.Loads
+	Limiter    *btlimit.Limiter
+	ConfigSync *ConfigSync
+	Hosts      *bthost.Watcher
+	// OwnState returns this member's state.
+	OwnState func() State
 
 	mu     sync.Mutex
 	states map[bramleytack.HostID]State
@@ -91,7 +91,7 @@
 // order of their hosts.
 func (e *Exchange) States() []State {
 	now := e.Timer.Now()
-	own := e.Own()
+	own := e.OwnState()
 	own.Seen = now
 	list := []State{own}
 	e.mu.Lock()
@@ -156,7 +156,7 @@
 		return
 	}
 	e.take(host, reply)
-	e.Spread.Compare(ctx, host, digestOf(reply))
+	e.ConfigSync.Reconcile(ctx, host, digestOf(reply))
 }
 
 func (e *Exchange) handle(_ context.Context, from bramleytack.HostID, m *btwire.Exchange) (*btwire.Exchange, error) {
@@ -189,12 +189,12 @@
 	}
 	e.Limiter.Receive(now, host, demands)
 	e.Hosts.Hear(decodeAddrs(m.GetLeavingHosts()))
-	e.Spread.Saw(host, bramleytack.Revision(m.GetConfigRevision()))
+	e.ConfigSync.ObserveRevision(host, bramleytack.Revision(m.GetConfigRevision()))
 }
 
 func (e *Exchange) encode() *btwire.Exchange {
 	now := e.Timer.Now()
-	own := e.Own()
+	own := e.OwnState()
 	uptime, _ := time.ParseDuration(own.Uptime)
 	m := &btwire.Exchange{
 		Uptime: durationpb.New(uptime),
--- a/btremote/sim_test.go
+++ b/btremote/sim_test.go
@@ -96,7 +96,7 @@
 	owners   *Owners
 	claims   *Claims
 	config   *btconfig.Config
-	spread   *Spread
+	spread   *ConfigSync
 	exchange *Exchange
 	suspects *Suspects
 	poison   *btquarantine.Table
@@ -179,12 +179,12 @@
 	m.owners = &Owners{Self: m.host, Node: m.node, Cell: m.cell, Table: m.table, Loads: loads, Timer: s.timers}
 	m.table.Ownership = m.owners
 	m.claims = &Claims{Self: m.host, Node: m.node, Cell: m.cell, Shards: []*btclaim.Shard{{Store: m.store, Timer: s.timers, Cell: "c"}}}
-	m.spread = &Spread{Self: m.host, Node: m.node, Cell: m.cell, Config: m.config, Timer: s.timers}
-	m.cell.OnConfigRevision = m.spread.Saw
+	m.spread = &ConfigSync{Self: m.host, Node: m.node, Cell: m.cell, Config: m.config, Timer: s.timers}
+	m.cell.OnConfigRevision = m.spread.ObserveRevision
 	m.exchange = &Exchange{
-		Self: m.host, Node: m.node, Cell: m.cell, Timer: s.timers, Table: m.table, Loads: loads, Spread: m.spread,
+		Self: m.host, Node: m.node, Cell: m.cell, Timer: s.timers, Table: m.table, Loads: loads, ConfigSync: m.spread,
 		Limiter: &btlimit.Limiter{Self: m.host}, Hosts: &bthost.Watcher{Store: m.store, Timer: s.timers},
-		Own: func() State { return State{Host: m.host, Config: m.config.Digest()} },
+		OwnState: func() State { return State{Host: m.host, Config: m.config.Digest()} },
 	}
 	m.poison = &btquarantine.Table{Store: m.store, Timer: s.timers, Snapshots: m.config}
 	m.suspects = &Suspects{Self: m.host, Node: m.node, Cell: m.cell, Table: m.poison}
