--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -28,12 +28,12 @@
 	d.limiter = &btlimit.Limiter{Self: d.settings.Host}
 	d.suspects = &btquarantine.Table{Store: d.store, Timer: d.timers, Snapshots: d.config}
 	d.probes = &btprobe.Prober{
-		Snapshots: d.config,
-		Upstreams: d.pool,
-		Timer:     d.timers,
-		Wanted:    d.table.Owns,
-		Report:    d.report,
-		Failed:    d.probeFailed,
+		Snapshots:      d.config,
+		Upstreams:      d.pool,
+		Timer:          d.timers,
+		ShouldProbe:    d.table.Owns,
+		OnReport:       d.report,
+		OnHealthChange: d.probeFailed,
 	}
 }
 
--- a/btprobe/doc.go
+++ b/btprobe/doc.go
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-//	probes := &btprobe.Prober{Snapshots: config, Upstreams: pool, Timer: timers, Report: report}
+//	probes := &btprobe.Prober{Snapshots: config, Upstreams: pool, Timer: timers, OnReport: report}
 //	go probes.Run(ctx)
 //	probes.Update(ctx)
 package btprobe
--- a/btprobe/probe.go
+++ b/btprobe/probe.go
@@ -47,10 +47,10 @@
 		}
 		return
 	}
-	if b.hit() && b.prober.Failed != nil {
-		b.prober.Failed(b.record, false, nil)
+	if b.hit() && b.prober.OnHealthChange != nil {
+		b.prober.OnHealthChange(b.record, false, nil)
 	}
-	b.prober.Report(b.record, r)
+	b.prober.OnReport(b.record, r)
 }
 
 // hit counts a report. It says whether the upstream had failed before.
@@ -68,8 +68,8 @@
 	b.missed++
 	first := b.missed == MissedLimit
 	b.mu.Unlock()
-	if first && b.prober.Failed != nil {
-		b.prober.Failed(b.record, true, err)
+	if first && b.prober.OnHealthChange != nil {
+		b.prober.OnHealthChange(b.record, true, err)
 	}
 }
 
--- a/btprobe/prober.go
+++ b/btprobe/prober.go
@@ -22,20 +22,20 @@
 	updatePeriod = 250 * time.Millisecond
 )
 
-// Prober reads load reports. Snapshots, Upstreams, Timer and Report are
+// Prober reads load reports. Snapshots, Upstreams, Timer and OnReport are
 // required.
 type Prober struct {
 	Snapshots bramleytack.Snapshots
 	Upstreams bramleytack.Upstreams
 	Timer     bramleytack.Timer
-	// Wanted says whether an upstream is probed. Nil probes all.
-	Wanted func(bramleytack.UpstreamID) bool
-	// Report receives each report.
-	Report func(u *bramleytack.Upstream, r bramleytack.LoadReport)
-	// Failed is told when an upstream fails and when it answers again. It may
+	// ShouldProbe says whether an upstream is probed. Nil probes all.
+	ShouldProbe func(bramleytack.UpstreamID) bool
+	// OnReport receives each report.
+	OnReport func(u *bramleytack.Upstream, r bramleytack.LoadReport)
+	// OnHealthChange is called when an upstream fails and when it answers again. It may
 	// be nil.
-	Failed func(u *bramleytack.Upstream, failed bool, err error)
-	Period time.Duration
+	OnHealthChange func(u *bramleytack.Upstream, failed bool, err error)
+	Period         time.Duration
 
 	mu     sync.Mutex
 	probes map[bramleytack.UpstreamID]*probe
@@ -103,7 +103,7 @@
 }
 
 func (p *Prober) wanted(id bramleytack.UpstreamID) bool {
-	return p.Wanted == nil || p.Wanted(id)
+	return p.ShouldProbe == nil || p.ShouldProbe(id)
 }
 
 func (p *Prober) period() time.Duration {
