--- a/btdaemon/daemon.go
+++ b/btdaemon/daemon.go
@@ -82,9 +82,9 @@
 	d.store = store
 	d.config = btconfig.New()
 	d.watcher = &btconfig.Watcher{Store: store, Config: d.config, Timer: d.timers, Seed: seed, OnError: d.watchFailed}
-	d.hosts = &bthost.Watcher{Store: store, Timer: d.timers, Period: d.hostPeriod, Changed: d.hostsChanged}
+	d.hosts = &bthost.Watcher{Store: store, Timer: d.timers, Period: d.hostPeriod, OnChange: d.hostsChanged}
 	d.snapshots = &bthost.Overlay{Config: d.config, Hosts: d.hosts}
-	d.pool = btupstream.NewPool(btupstream.Options{Lost: d.upstreamLost})
+	d.pool = btupstream.NewPool(btupstream.Options{OnConnLost: d.upstreamLost})
 	d.keys = &bttoken.Keyring{Store: store, Timer: d.timers}
 	d.buildOwner()
 	if err := d.buildCluster(); err != nil {
--- a/btdispatch/dispatcher.go
+++ b/btdispatch/dispatcher.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	stream, err := engine.Resume(ctx, ref.Stream, r.From)
-	if errors.Is(err, btupstream.ErrGone) {
+	if errors.Is(err, btupstream.ErrUnknownGeneration) {
 		return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "engine no longer holds the generation").WithCause(err)
 	}
 	if err != nil {
@@ -166,7 +166,7 @@
 	return &btrelay.Relay{
 		Engine:           engine,
 		Timer:            d.Timer,
-		IsGenerationLost: func(err error) bool { return errors.Is(err, btupstream.ErrGone) },
+		IsGenerationLost: func(err error) bool { return errors.Is(err, btupstream.ErrUnknownGeneration) },
 		NewOpening: func(s bramleytack.StreamID) (bramleytack.Opening, error) {
 			ref.Stream = s
 			token, err := d.Tokens.Seal(ref)
--- a/bthost/watcher.go
+++ b/bthost/watcher.go
@@ -43,8 +43,8 @@
 	Timer bramleytack.Timer
 	// Period returns the time to the next read. Nil takes DefaultPeriod.
 	Period func() time.Duration
-	// Changed is told when the set changes. It may be nil.
-	Changed func(*Leaving)
+	// OnChange is called when the set changes. It may be nil.
+	OnChange func(*Leaving)
 
 	mu sync.Mutex
 	// listed are the leaving hosts of the last list, and at its time by the
@@ -78,8 +78,8 @@
 	return &Leaving{}
 }
 
-// Listed returns the leaving hosts of the last list, to tell peers.
-func (w *Watcher) Listed() []netip.Addr {
+// ListedLeaving returns the leaving hosts of the last list, to tell peers.
+func (w *Watcher) ListedLeaving() []netip.Addr {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := make([]netip.Addr, 0, len(w.listed))
@@ -90,8 +90,8 @@
 	return list
 }
 
-// Hear takes leaving hosts from a peer.
-func (w *Watcher) Hear(addrs []netip.Addr) {
+// MergePeerReport takes leaving hosts from a peer.
+func (w *Watcher) MergePeerReport(addrs []netip.Addr) {
 	if len(addrs) == 0 {
 		return
 	}
@@ -153,8 +153,8 @@
 	}
 	next := &Leaving{Number: old.Number + 1, addrs: addrs}
 	w.current.Store(next)
-	if w.Changed != nil {
-		w.Changed(next)
+	if w.OnChange != nil {
+		w.OnChange(next)
 	}
 }
 
--- a/bthost/watcher_test.go
+++ b/bthost/watcher_test.go
@@ -42,10 +42,10 @@
 		}, false},
 		{"peer saw it first", func(s *btmemstore.Store, w *Watcher) {
 			s.SetFault(btmemstore.Fault{Down: true})
-			w.Hear([]netip.Addr{addrA})
+			w.MergePeerReport([]netip.Addr{addrA})
 		}, false},
 		{"own newer list contradicts a peer", func(s *btmemstore.Store, w *Watcher) {
-			w.Hear([]netip.Addr{addrA})
+			w.MergePeerReport([]netip.Addr{addrA})
 			list(s, 2, false)
 		}, true},
 	}
--- a/btremote/exchange.go
+++ b/btremote/exchange.go
@@ -188,7 +188,7 @@
 		}
 	}
 	e.Limiter.Receive(now, host, demands)
-	e.Hosts.Hear(decodeAddrs(m.GetLeavingHosts()))
+	e.Hosts.MergePeerReport(decodeAddrs(m.GetLeavingHosts()))
 	e.ConfigSync.ObserveRevision(host, bramleytack.Revision(m.GetConfigRevision()))
 }
 
@@ -203,7 +203,7 @@
 		ConfigRevision: uint64(own.Config.Revision), ConfigHash: own.Config.Hash,
 		ViewNumber: own.View, Streams: int64(own.Streams), Ready: own.Ready, Queued: int64(own.Queued),
 	}
-	for _, a := range e.Hosts.Listed() {
+	for _, a := range e.Hosts.ListedLeaving() {
 		m.LeavingHosts = append(m.LeavingHosts, a.String())
 	}
 	for _, d := range e.Table.Digests() {
--- a/btupstream/engine.go
+++ b/btupstream/engine.go
@@ -19,8 +19,8 @@
 // maxReportBytes bounds a load report or a page of cache events.
 const maxReportBytes = 4 << 20
 
-// ErrGone says that an engine does not know a generation.
-var ErrGone = errors.New("btupstream: engine does not hold the generation")
+// ErrUnknownGeneration says that an engine does not know a generation.
+var ErrUnknownGeneration = errors.New("btupstream: engine does not hold the generation")
 
 // ErrStaleFence says that an engine refused an order's fencing number.
 var ErrStaleFence = errors.New("btupstream: engine refused the fencing number")
@@ -44,7 +44,7 @@
 	return e.stream(ctx, req, r.ID)
 }
 
-// Resume implements bramleytack.Engine. It returns ErrGone if the engine no
+// Resume implements bramleytack.Engine. It returns ErrUnknownGeneration if the engine no
 // longer holds the generation.
 func (e *Engine) Resume(ctx context.Context, id bramleytack.StreamID, from int) (bramleytack.Stream, error) {
 	path := generationPath(id) + "?from=" + strconv.Itoa(from)
@@ -132,7 +132,7 @@
 	if resp.StatusCode == http.StatusNotFound && req.Method == http.MethodGet {
 		drain(resp.Body)
 		cancel()
-		return nil, failed(ctx, ErrGone, bramleytack.Ran)
+		return nil, failed(ctx, ErrUnknownGeneration, bramleytack.Ran)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
--- a/btupstream/outcome_test.go
+++ b/btupstream/outcome_test.go
@@ -156,7 +156,7 @@
 		e, err := NewPool(Options{}).Engine(u)
 		assert.NilError(t, err)
 		_, err = e.Resume(t.Context(), "g", 1)
-		assert.Assert(t, errors.Is(err, ErrGone), "error: %v", err)
+		assert.Assert(t, errors.Is(err, ErrUnknownGeneration), "error: %v", err)
 		assert.Equal(t, bramleytack.AsError(err).Code, bramleytack.CodeUpstreamFailed)
 	})
 }
@@ -208,7 +208,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "{}") }))
 	addr := netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 	done := make(chan netip.AddrPort, 1)
-	pool := NewPool(Options{Lost: func(a netip.AddrPort) {
+	pool := NewPool(Options{OnConnLost: func(a netip.AddrPort) {
 		lost.Add(1)
 		done <- a
 	}})
--- a/btupstream/pool.go
+++ b/btupstream/pool.go
@@ -35,10 +35,10 @@
 	PollTimeout time.Duration
 	// MaxAnswer bounds the answer of a plain service in bytes.
 	MaxAnswer int64
-	// Lost is told when an upstream closes the connection over which its load
+	// OnConnLost is called when an upstream closes the connection over which its load
 	// reports are read, which it does at once when its process ends. It may be
 	// nil and must not block.
-	Lost func(addr netip.AddrPort)
+	OnConnLost func(addr netip.AddrPort)
 	// Dial replaces the TCP dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -107,14 +107,14 @@
 	ctx, cancel := context.WithTimeout(ctx, p.opts.DialTimeout)
 	defer cancel()
 	c, err := p.opts.Dial(ctx, network, addr)
-	if err != nil || p.opts.Lost == nil {
+	if err != nil || p.opts.OnConnLost == nil {
 		return c, err
 	}
 	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return c, nil
 	}
-	return &pollConn{Conn: c, lost: func() { p.opts.Lost(target) }}, nil
+	return &pollConn{Conn: c, lost: func() { p.opts.OnConnLost(target) }}, nil
 }
 
 // Close closes the pooled connections.
