--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -198,7 +198,7 @@
 // isolated says whether the host reaches neither the store nor a peer.
 func (d *Daemon) isolated() bool {
 	now := d.timers.Now()
-	return now.Sub(d.cluster.cell.LastContact()) > isolationLimit && now.Sub(d.store.LastAnswer()) > isolationLimit
+	return now.Sub(d.cluster.cell.LastContact()) > isolationLimit && now.Sub(d.store.LastResponse()) > isolationLimit
 }
 
 // hostPeriod is the time between two reads of the host list by this host.
--- a/btdaemon/health.go
+++ b/btdaemon/health.go
@@ -55,9 +55,9 @@
 		h.isolated = is
 		d.log.Event(either(is, btevent.HostIsolated, btevent.HostRejoined)).Send()
 	}
-	down := now.Sub(d.store.LastAnswer()) > storeSilence && now.Sub(d.started) > storeSilence
+	down := now.Sub(d.store.LastResponse()) > storeSilence && now.Sub(d.started) > storeSilence
 	if down && !h.storeDown {
-		d.log.Event(btevent.StoreDown).Time("lastAnswer", d.store.LastAnswer()).Send()
+		d.log.Event(btevent.StoreDown).Time("lastAnswer", d.store.LastResponse()).Send()
 	}
 	h.storeDown = down
 	expired := d.cluster.cell.View() != nil && now.Sub(d.cluster.cell.ViewLeaseStart()) > btview.LeaseDuration
--- a/btstore/client.go
+++ b/btstore/client.go
@@ -147,9 +147,10 @@
 
 func formatRevision(v bramleytack.Revision) string { return strconv.FormatUint(uint64(v), 10) }
 
-// LastAnswer returns when the platform last answered a call, other than by
-// saying that it is unavailable. It is zero before the first answer.
-func (c *Client) LastAnswer() time.Time {
+// LastResponse returns when the last complete response to a read or write
+// arrived. Statuses 429 and 5xx do not count. It is the zero time before the
+// first such response.
+func (c *Client) LastResponse() time.Time {
 	if t := c.answered.Load(); t != nil {
 		return *t
 	}
