--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -60,7 +60,7 @@
 	s := d.settings
 	c := &d.cluster
 	c.mux = &btpeer.Mux{}
-	c.node = &btpeer.Node{Host: s.Host, Timer: d.timers, Mux: c.mux, Plain: s.PeerTLS.Plain}
+	c.node = &btpeer.Node{Host: s.Host, Timer: d.timers, Mux: c.mux, AllowPlaintext: s.PeerTLS.Plain}
 	if !s.PeerTLS.Plain {
 		c.node.Certificates = &btpeer.Certificates{
 			CertFile: s.PeerTLS.Certificate, KeyFile: s.PeerTLS.Key, CAFile: s.PeerTLS.Authority,
--- a/btdaemon/daemon_test.go
+++ b/btdaemon/daemon_test.go
@@ -101,7 +101,7 @@
 func dialed(d *Daemon) int {
 	n := 0
 	for _, l := range d.cluster.node.Dump().(btpeer.State).Links {
-		n += l.Dialed + l.Fails
+		n += l.Dialed + l.FailedDials
 	}
 	return n
 }
--- a/btpeer/dump.go
+++ b/btpeer/dump.go
@@ -21,11 +21,13 @@
 	Host bramleytack.HostID `json:"host"`
 	Addr netip.AddrPort     `json:"addr"`
 	Up   bool               `json:"up"`
-	// Dialed counts the links that came up, Fails the attempts that failed
-	// since the last one.
+	// Dialed counts the successful attempts to connect since the peer's address
+	// was set.
 	Dialed int `json:"dialed"`
-	Fails  int `json:"fails"`
-	Calls  int `json:"calls"`
+	// FailedDials counts the failed attempts since the last successful one.
+	FailedDials int `json:"fails"`
+	// Calls is the number of calls in progress or waiting for a session.
+	Calls int `json:"calls"`
 }
 
 // Dump returns the current State.
@@ -46,6 +48,6 @@
 	defer l.mu.Unlock()
 	return LinkState{
 		Host: l.host, Addr: l.addr, Up: l.sess != nil && !l.sess.IsClosed(),
-		Dialed: l.dialed, Fails: l.fails, Calls: len(l.slots),
+		Dialed: l.dialed, FailedDials: l.fails, Calls: len(l.slots),
 	}
 }
--- a/btpeer/node.go
+++ b/btpeer/node.go
@@ -57,9 +57,9 @@
 	Dialer Dialer
 	// Certificates secure the links.
 	Certificates *Certificates
-	// Plain allows links without TLS when there are no Certificates. A plain
-	// peer is believed the name that it gives. For tests only.
-	Plain bool
+	// AllowPlaintext permits links without TLS if Certificates is nil. The host
+	// name that a peer gives is then not verified. For tests only.
+	AllowPlaintext bool
 
 	mu     sync.Mutex
 	closed bool
--- a/btpeer/node_test.go
+++ b/btpeer/node_test.go
@@ -76,7 +76,7 @@
 
 func (p *pair) node(timers bramleytack.Timer, host bramleytack.HostID, addr netip.AddrPort) *Node {
 	return &Node{
-		Host: host, Timer: timers, Plain: true, Mux: &Mux{},
+		Host: host, Timer: timers, AllowPlaintext: true, Mux: &Mux{},
 		Dialer: btmemnet.Dialer{Network: p.network, From: addr.Addr()},
 	}
 }
--- a/btpeer/secure.go
+++ b/btpeer/secure.go
@@ -95,7 +95,7 @@
 	}, nil
 }
 
-// errInsecure is returned for a node with neither certificates nor Plain.
+// errInsecure is returned for a node with neither Certificates nor AllowPlaintext.
 var errInsecure = errors.New("btpeer: no certificates, and plain links are not allowed")
 
 // client secures a dialed connection and checks that the peer is host.
@@ -134,7 +134,7 @@
 }
 
 func (n *Node) sendName(ctx context.Context, c net.Conn) error {
-	if !n.Plain {
+	if !n.AllowPlaintext {
 		return errInsecure
 	}
 	data, err := appendFrame(nil, &btwire.Member{Host: string(n.Host)}, maxEnvelopeBytes)
@@ -148,7 +148,7 @@
 }
 
 func (n *Node) readName(ctx context.Context, c net.Conn) (bramleytack.HostID, error) {
-	if !n.Plain {
+	if !n.AllowPlaintext {
 		return "", errInsecure
 	}
 	var m btwire.Member
--- a/btremote/sim_test.go
+++ b/btremote/sim_test.go
@@ -145,7 +145,7 @@
 	m.ctx, m.cancel = context.WithCancel(s.t.Context())
 	mux := &btpeer.Mux{}
 	m.node = &btpeer.Node{
-		Host: m.host, Timer: s.timers, Mux: mux, Plain: true,
+		Host: m.host, Timer: s.timers, Mux: mux, AllowPlaintext: true,
 		Dialer: btmemnet.Dialer{Network: s.network, From: addr.Addr()},
 	}
 	lease := &btlease.Lease{Store: m.store, Timer: s.timers, Cell: "c", Host: m.host, PeerAddr: addr}
--- a/btview/links_test.go
+++ b/btview/links_test.go
@@ -36,7 +36,7 @@
 			addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, host[1]}), 7)
 			mux := &btpeer.Mux{}
 			n := &btpeer.Node{
-				Host: host, Timer: timers, Mux: mux, Plain: true,
+				Host: host, Timer: timers, Mux: mux, AllowPlaintext: true,
 				Dialer: btmemnet.Dialer{Network: network, From: addr.Addr()},
 			}
 			l := &btlease.Lease{Store: store, Timer: timers, Cell: "c", Host: host, PeerAddr: addr}
