--- a/btclaim/claim.go
+++ b/btclaim/claim.go
@@ -12,7 +12,7 @@
 // MaxKeyBytes bounds each part of a ClaimKey.
 const MaxKeyBytes = 256
 
-// ClaimKey identifies a call across its repeats.
+// ClaimKey identifies a call and its repeats. The caller chooses Key.
 type ClaimKey struct {
 	Workspace bramleytack.WorkspaceID `json:"workspace"`
 	Service   string                  `json:"service"`
@@ -30,8 +30,8 @@
 	return int(binary.BigEndian.Uint64(h.Sum(nil)) % uint64(count))
 }
 
-// validate refuses keys that do not survive a round trip through JSON, since
-// they would be another key after the next load.
+// validate rejects keys that are too long or not UTF-8. JSON replaces invalid
+// bytes, so such a key would be read back from the store as another key.
 func (k ClaimKey) validate() error {
 	for _, part := range []string{string(k.Workspace), k.Service, k.Key} {
 		if len(part) > MaxKeyBytes || !utf8.ValidString(part) {
@@ -42,22 +42,25 @@
 	return nil
 }
 
-// AttemptID identifies one claim of a key.
+// AttemptID identifies one successful begin of a key. A new one is drawn when
+// a key is claimed again after notRun.
 type AttemptID string
 
-// DecisionKind says what to do with a call.
+// DecisionKind is what to do with a call that carries an idempotency key.
 type DecisionKind uint8
 
-// The kinds of decisions. The zero value runs nothing.
+// The kinds of decisions. Only Run lets the call be dispatched.
 const (
 	// NoOutcome means that an earlier call may have run and that its outcome
-	// will not become known.
+	// is no longer expected.
 	NoOutcome DecisionKind = iota
-	// Run means that the caller holds the claim and must dispatch the call.
+	// Run means that the key is now claimed for the call, which is to be
+	// dispatched.
 	Run
-	// Replay means that the call ran and that its answer is kept.
+	// Replay means that an earlier call ran and that its response is kept.
 	Replay
-	// ResponseNotKept means that the call ran and that its answer was too long to keep.
+	// ResponseNotKept means that an earlier call ran and that its response is
+	// not kept, because it was too long or missing or had an invalid header.
 	ResponseNotKept
 	// InProgress means that an earlier call has no outcome yet.
 	InProgress
@@ -67,7 +70,7 @@
 
 var decisionNames = [...]string{"noOutcome", "run", "replay", "notKept", "inProgress", "keyReused"}
 
-// String returns the kind's name.
+// String returns the kind's name, or "invalid" for an undefined kind.
 func (k DecisionKind) String() string {
 	if int(k) < len(decisionNames) {
 		return decisionNames[k]
@@ -75,35 +78,36 @@
 	return "invalid"
 }
 
-// Decision is the answer to a begin.
+// Decision is the result of Claims.Begin.
 type Decision struct {
 	Kind DecisionKind
-	// Attempt identifies the claim that Run gives.
+	// Attempt is set for Run. Finish needs it.
 	Attempt AttemptID
-	// Status and Digest describe the answer of Replay and NotKept. Digest is
-	// the SHA-256 hash of its body.
+	// Status and Digest describe the earlier response for Replay and
+	// ResponseNotKept. Digest is the SHA-256 hash of its body.
 	Status int
 	Digest [sha256.Size]byte
-	// Response is the answer of Replay.
+	// Response is the earlier response for Replay, otherwise nil.
 	Response *bramleytack.Response
 }
 
-// Claims begins and finishes claims. A shard that this process owns and the
-// remote owner of a shard both implement it.
+// Claims begins and finishes claims. Shard implements it in the daemon that owns
+// the shard; btremote has a client of a remote owner.
 type Claims interface {
-	// Begin claims a key. An error means that the caller does not hold the
-	// claim and must not dispatch the call.
+	// Begin claims a key for a call. After an error the call must not be
+	// dispatched.
 	Begin(ctx context.Context, key ClaimKey, body bramleytack.Fingerprint, entry bramleytack.HostID, request bramleytack.RequestID) (Decision, error)
-	// Finish records the outcome of an attempt. NotRun frees the key. Unknown
-	// records nothing. The response may be nil.
+	// Finish records the outcome of an attempt. After NotRun the key can be
+	// claimed again. Unknown records nothing. The response may be nil.
 	Finish(ctx context.Context, key ClaimKey, attempt AttemptID, outcome bramleytack.Outcome, response *bramleytack.Response) error
 }
 
 // Router passes each claim on to the owner of its shard.
 type Router struct {
-	// Count is the number of shards. It must not change while claims are kept.
+	// Count is the number of shards. It must not change while the store holds
+	// claims, since it determines the shard of a key.
 	Count int
-	// Owner returns the claims of a shard, local or over a peer link.
+	// Owner returns the local shard or a client of the daemon that owns it.
 	Owner func(shard int) (Claims, error)
 }
 
--- a/btclaim/commit.go
+++ b/btclaim/commit.go
@@ -13,155 +13,164 @@
 )
 
 const (
-	// commitTimeout bounds one commit with all its repeats.
+	// commitTimeout bounds one commit with all its retries.
 	commitTimeout = 5 * time.Second
-	// commitTries bounds the decisions that conflicts undo.
-	commitTries = 8
-	// settleTries bounds the repeats of a write with an unknown effect.
-	settleTries = 4
-	// retryWait is the first wait before a repeat. It doubles each time.
-	retryWait = 5 * time.Millisecond
-	// maxOrphans bounds the attempts to be repaired, so that the repairs of one
-	// commit fit into the head. A forgotten one stays without outcome, which
-	// is safe.
+	// maxCommitTries bounds how often a commit plans its operations. It plans
+	// them again after each conflict.
+	maxCommitTries = 8
+	// maxResolveTries bounds how often a write with an unknown effect is sent
+	// again.
+	maxResolveTries = 4
+	// firstRetryWait is the wait before the first retry. It doubles each time.
+	firstRetryWait = 5 * time.Millisecond
+	// maxOrphans bounds the orphans, so that the records that mark them as
+	// notRun fit into one commit of the head. The claim of an orphan that is
+	// dropped stays without outcome, so its call is never dispatched.
 	maxOrphans = 400
-	// deletesPerCommit bounds the deletions of segments after a commit.
-	deletesPerCommit = 4
+	// maxDeletesPerCommit bounds the segments that are deleted after a commit.
+	maxDeletesPerCommit = 4
 )
 
-// Errors of a Shard. All say that the call was not dispatched.
+// Errors of a Shard. Their outcome NotRun is that of a begin, whose call is not
+// dispatched after an error. Finish returns the same errors for an outcome that
+// was not recorded.
 var (
-	errClosed       = bramleytack.NewError(bramleytack.CodeShuttingDown, bramleytack.NotRun, "claim shard is shutting down")
-	errTimeout      = bramleytack.NewError(bramleytack.CodeTimeout, bramleytack.NotRun, "claim was not stored in time")
-	errUndetermined = bramleytack.NewError(bramleytack.CodeStoreDown, bramleytack.NotRun, "claim has an unknown effect in the store; call not dispatched")
-	errStore        = bramleytack.NewError(bramleytack.CodeStoreDown, bramleytack.NotRun, "claim cannot be stored")
-	errNoClaim      = errors.New("btclaim: no claim of this attempt")
-	errFull         = errors.New("btclaim: shard is full")
-	errContent      = errors.New("btclaim: segment has another content")
+	errClosed         = bramleytack.NewError(bramleytack.CodeShuttingDown, bramleytack.NotRun, "claim shard is shutting down")
+	errTimeout        = bramleytack.NewError(bramleytack.CodeTimeout, bramleytack.NotRun, "claim was not stored in time")
+	errUndetermined   = bramleytack.NewError(bramleytack.CodeStoreDown, bramleytack.NotRun, "claim has an unknown effect in the store; call not dispatched")
+	errStore          = bramleytack.NewError(bramleytack.CodeStoreDown, bramleytack.NotRun, "claim cannot be stored")
+	errNoSuchAttempt  = errors.New("btclaim: attempt has no claim")
+	errHeadTooLarge   = errors.New("btclaim: head exceeds the size limit of the store")
+	errSegmentContent = errors.New("btclaim: stored segment has different content")
 )
 
-// effect is what became of a write.
-type effect uint8
+// writeEffect is the effect of a conditional update of the head.
+type writeEffect uint8
 
 const (
-	undetermined effect = iota
+	// undetermined means that the write may have taken effect or may still do.
+	undetermined writeEffect = iota
 	committed
-	lost
-	refused
+	// conflicted means that another write has changed the head.
+	conflicted
+	// notWritten means that the write failed without effect.
+	notWritten
 )
 
-// commit carries out operations. It returns whether it wrote to the store.
+// commit carries out operations and delivers their results. It reports whether
+// it tried to write to the store.
 func (s *Shard) commit(ctx context.Context, ops []*operation) bool {
 	if len(ops) == 0 && len(s.orphans) == 0 {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	reload := !s.loaded || slices.ContainsFunc(ops, func(o *operation) bool { return o.refresh })
-	fresh := false
-	for try := range commitTries {
+	reload := !s.loaded || slices.ContainsFunc(ops, func(o *operation) bool { return o.reload })
+	reloaded := false
+	for try := range maxCommitTries {
 		if reload {
 			if _, err := s.reload(ctx, ""); err != nil {
-				s.fail(ops, errStore.WithCause(err))
+				s.deliverError(ops, errStore.WithCause(err))
 				return false
 			}
-			fresh = true
+			reloaded = true
 		}
 		p, err := s.plan(ops)
 		if err != nil {
-			s.fail(ops, errStore.WithCause(err))
+			s.deliverError(ops, errStore.WithCause(err))
 			return false
 		}
-		if p.missing && !fresh {
+		if p.attemptNotFound && !reloaded {
 			// Another owner may have committed the begin.
 			reload = true
 			continue
 		}
 		if len(p.records) == 0 {
-			s.finish(p)
+			s.deliverResults(p)
 			return false
 		}
 		e, err := s.write(ctx, p)
 		switch e {
 		case committed:
-			s.finish(p)
+			s.deliverResults(p)
 			s.deleteDropped(ctx)
 			return true
-		case lost:
+		case conflicted:
 			reload = true
-		case refused:
-			s.fail(ops, errStore.WithCause(err))
+		case notWritten:
+			s.deliverError(ops, errStore.WithCause(err))
 			return true
 		case undetermined:
-			s.abandon(p)
-			s.fail(ops, errUndetermined.WithCause(err))
+			s.addOrphans(p)
+			s.deliverError(ops, errUndetermined.WithCause(err))
 			return true
 		}
-		if s.Timer.Sleep(ctx, retryWait<<try) != nil {
+		if s.Timer.Sleep(ctx, firstRetryWait<<try) != nil {
 			break
 		}
 	}
-	s.fail(ops, errStore.WithCause(bramleytack.ErrConflict))
+	s.deliverError(ops, errStore.WithCause(bramleytack.ErrConflict))
 	return true
 }
 
-// write stores a plan and brings the ledger up to date if it took effect.
-func (s *Shard) write(ctx context.Context, p *plan) (effect, error) {
-	if p.rolled != nil {
-		if err := s.createSegment(ctx, p.rolled); err != nil {
-			return refused, err
+// write stores a plan and updates the cache if the plan took effect.
+func (s *Shard) write(ctx context.Context, p *plan) (writeEffect, error) {
+	if p.newSegment != nil {
+		if err := s.createSegment(ctx, p.newSegment); err != nil {
+			return notWritten, err
 		}
-		p.header.Segments = append(p.header.Segments, *p.rolled)
+		p.header.Segments = append(p.header.Segments, *p.newSegment)
 	}
 	data, err := encodeDocument(p.header, p.lines)
 	if err != nil {
-		return refused, err
+		return notWritten, err
 	}
 	if len(data) > bramleytack.MaxObjectBytes {
-		return refused, errFull
+		return notWritten, errHeadTooLarge
 	}
-	o := bramleytack.Object{Key: s.headKey(), ChangeID: p.change, Data: data}
-	e, err := s.put(ctx, p, o)
+	o := bramleytack.Object{Key: s.headKey(), ChangeID: p.changeID, Data: data}
+	e, err := s.putHead(ctx, p, o)
 	if e == undetermined {
-		e, err = s.settle(ctx, p, o)
+		e, err = s.resolveUnknown(ctx, p, o)
 	}
-	if e == lost {
-		s.discardSegment(ctx, p)
+	if e == conflicted {
+		s.deleteUnlistedSegment(ctx, p)
 	}
 	return e, err
 }
 
-// put writes the head under the version that the plan was made on.
-func (s *Shard) put(ctx context.Context, p *plan, o bramleytack.Object) (effect, error) {
+// putHead writes the head if its version is still the one that the plan is
+// based on.
+func (s *Shard) putHead(ctx context.Context, p *plan, o bramleytack.Object) (writeEffect, error) {
 	v, err := s.Store.Put(ctx, o, p.expected)
 	switch {
 	case err == nil:
-		s.ledger.advance(v, p)
+		s.cache.advance(v, p)
 		return committed, nil
 	case errors.Is(err, bramleytack.ErrConflict):
-		return lost, err
+		return conflicted, err
 	case errors.Is(err, bramleytack.ErrStoreDown):
-		return refused, err
+		return notWritten, err
 	}
 	return undetermined, err
 }
 
-// settle finds out whether a write with an unknown effect took effect. While
-// the head stays at the expected version, the write may still be on its way,
-// and is sent again: at most one of the two can take effect.
-func (s *Shard) settle(ctx context.Context, p *plan, o bramleytack.Object) (effect, error) {
-	for try := range settleTries {
-		found, err := s.reload(ctx, p.change)
-		if err == nil && s.ledger.version > p.expected {
+// resolveUnknown determines whether a write took effect after the store could
+// not report it. While the head stays at the expected version, the write may
+// still arrive, and it is sent again: at most one of the two can take effect.
+func (s *Shard) resolveUnknown(ctx context.Context, p *plan, o bramleytack.Object) (writeEffect, error) {
+	for try := range maxResolveTries {
+		found, err := s.reload(ctx, p.changeID)
+		if err == nil && s.cache.version > p.expected {
 			if found {
 				return committed, nil
 			}
-			return lost, bramleytack.ErrConflict
+			return conflicted, bramleytack.ErrConflict
 		}
-		if e, _ := s.put(ctx, p, o); e == committed {
+		if e, _ := s.putHead(ctx, p, o); e == committed {
 			return committed, nil
 		}
-		if err := s.Timer.Sleep(ctx, retryWait<<try); err != nil {
+		if err := s.Timer.Sleep(ctx, firstRetryWait<<try); err != nil {
 			return undetermined, err
 		}
 	}
@@ -169,9 +178,10 @@
 }
 
 // reload reads the head and the segments that are new in it. A head that is
-// not newer than the loaded one is a stale read and changes nothing. It returns
-// whether a newer head holds records of the given change.
-func (s *Shard) reload(ctx context.Context, change string) (bool, error) {
+// not newer than the cached one changes nothing: it is the same, or the read
+// was stale. reload reports whether a newer head holds records of the given
+// change.
+func (s *Shard) reload(ctx context.Context, changeID string) (bool, error) {
 	o, err := s.Store.Get(ctx, s.headKey())
 	switch {
 	case errors.Is(err, bramleytack.ErrNotFound):
@@ -181,37 +191,38 @@
 		return false, nil
 	case err != nil:
 		return false, err
-	case s.loaded && o.Version <= s.ledger.version:
-		s.wakeWaiters()
+	case s.loaded && o.Version <= s.cache.version:
+		s.notifyWaiters()
 		return false, nil
 	}
-	h, lines, open, err := decodeDocument(o.Data)
+	h, lines, inHead, err := decodeDocument(o.Data)
 	if err != nil {
 		return false, err
 	}
-	sealed, err := s.loadSegments(ctx, h)
+	inSegments, err := s.loadSegments(ctx, h)
 	if err != nil {
 		return false, err
 	}
-	found := slices.ContainsFunc(open, func(r record) bool { return r.Change == change }) ||
-		slices.ContainsFunc(sealed, func(r sealedRecord) bool { return r.Change == change })
-	s.replace(o.Version, h, lines, open, sealed)
+	found := slices.ContainsFunc(inHead, func(r record) bool { return r.ChangeID == changeID }) ||
+		slices.ContainsFunc(inSegments, func(r segmentRecord) bool { return r.ChangeID == changeID })
+	s.replace(o.Version, h, lines, inHead, inSegments)
 	return found, nil
 }
 
-func (s *Shard) replace(v bramleytack.Revision, h header, lines []byte, open []record, sealed []sealedRecord) {
-	s.ledger.replace(v, h, lines, open, sealed)
+func (s *Shard) replace(v bramleytack.Revision, h header, lines []byte, inHead []record, inSegments []segmentRecord) {
+	s.cache.replace(v, h, lines, inHead, inSegments)
 	s.loaded = true
-	s.wakeWaiters()
+	s.notifyWaiters()
 }
 
-func (s *Shard) loadSegments(ctx context.Context, h header) ([]sealedRecord, error) {
-	var sealed []sealedRecord
+// loadSegments reads the segments that h lists and the cache lacks.
+func (s *Shard) loadSegments(ctx context.Context, h header) ([]segmentRecord, error) {
+	var loaded []segmentRecord
 	for _, seg := range h.Segments {
-		if s.loaded && s.ledger.holds(seg.Name) {
+		if s.loaded && s.cache.hasSegment(seg.Name) {
 			continue
 		}
-		o, err := s.Store.Get(ctx, s.object(seg.Name))
+		o, err := s.Store.Get(ctx, s.objectKey(seg.Name))
 		if err != nil {
 			return nil, errors.Wrapf(err, "btclaim: reading segment %s", seg.Name)
 		}
@@ -220,20 +231,21 @@
 			return nil, err
 		}
 		for _, r := range records {
-			sealed = append(sealed, sealedRecord{record: r, segment: seg.Name})
+			loaded = append(loaded, segmentRecord{record: r, segment: seg.Name})
 		}
 	}
-	return sealed, nil
+	return loaded, nil
 }
 
-// createSegment stores the head's current records under the name that follows
-// from the head's version. Whoever created the object, its content is the same.
+// createSegment stores the head's current records as a segment. Another owner
+// may have created the same object before: name and content depend only on the
+// head's version.
 func (s *Shard) createSegment(ctx context.Context, seg *segment) error {
-	data, err := encodeDocument(header{SchemaVersion: schemaVersion}, s.ledger.lines)
+	data, err := encodeDocument(header{SchemaVersion: schemaVersion}, s.cache.headLines)
 	if err != nil {
 		return err
 	}
-	o := bramleytack.Object{Key: s.object(seg.Name), Data: data}
+	o := bramleytack.Object{Key: s.objectKey(seg.Name), Data: data}
 	if seg.Version, err = s.Store.Put(ctx, o, 0); err == nil {
 		return nil
 	}
@@ -245,43 +257,44 @@
 		return err
 	}
 	if !bytes.Equal(stored.Data, o.Data) {
-		return errContent
+		return errSegmentContent
 	}
 	seg.Version = stored.Version
 	return nil
 }
 
-// discardSegment deletes the segment of a plan that lost, once the head has
-// moved on without listing it. Nobody can list it afterwards.
-func (s *Shard) discardSegment(ctx context.Context, p *plan) {
-	if p.rolled == nil {
+// deleteUnlistedSegment deletes the segment of a plan that conflicted, if a
+// newer head does not list it. No later head can list it.
+func (s *Shard) deleteUnlistedSegment(ctx context.Context, p *plan) {
+	if p.newSegment == nil {
 		return
 	}
 	if _, err := s.reload(ctx, ""); err != nil {
 		return
 	}
-	if s.ledger.version > p.expected && !s.ledger.lists(p.rolled.Name) {
-		_, _ = s.Store.Delete(ctx, s.object(p.rolled.Name), p.rolled.Version)
+	if s.cache.version > p.expected && !s.cache.references(p.newSegment.Name) {
+		_, _ = s.Store.Delete(ctx, s.objectKey(p.newSegment.Name), p.newSegment.Version)
 	}
 }
 
-// deleteDropped deletes segments past their retention. The next commit removes
-// them from the head; those that could not be deleted are tried again then.
+// deleteDropped deletes segments whose retention has ended. The next commit
+// removes them from the head. The others are tried again after that commit.
 func (s *Shard) deleteDropped(ctx context.Context) {
-	gone := map[string]bool{}
-	for i, seg := range s.ledger.header.Dropped {
-		if i == deletesPerCommit {
+	deleted := map[string]bool{}
+	for i, seg := range s.cache.header.Dropped {
+		if i == maxDeletesPerCommit {
 			break
 		}
-		_, err := s.Store.Delete(ctx, s.object(seg.Name), seg.Version)
-		gone[seg.Name] = err == nil || errors.Is(err, bramleytack.ErrConflict) || errors.Is(err, bramleytack.ErrNotFound)
+		_, err := s.Store.Delete(ctx, s.objectKey(seg.Name), seg.Version)
+		deleted[seg.Name] = err == nil || errors.Is(err, bramleytack.ErrConflict) || errors.Is(err, bramleytack.ErrNotFound)
 	}
-	s.gone = gone
+	s.deletedSegments = deleted
 }
 
-// finish answers the operations of a plan that is in effect.
-func (s *Shard) finish(p *plan) {
-	s.orphans = slices.DeleteFunc(s.orphans, func(o orphan) bool { return s.ledger.version > o.after })
+// deliverResults sends the results of a plan that took effect or needed no
+// write. A claim whose begin has stopped waiting becomes an orphan.
+func (s *Shard) deliverResults(p *plan) {
+	s.orphans = slices.DeleteFunc(s.orphans, func(o orphan) bool { return s.cache.version > o.after })
 	for _, r := range p.records {
 		if w, ok := s.waiters[r.ClaimKey]; ok && r.State != claimed {
 			close(w)
@@ -291,20 +304,20 @@
 	for i, o := range p.ops {
 		r := p.results[i]
 		if r.Kind == InProgress && !o.finish {
-			r.settled = s.waiter(o.next.ClaimKey)
+			r.changed = s.waitChannel(o.next.ClaimKey)
 		}
 		if !o.deliver(r) && r.Kind == Run {
 			s.addOrphan(orphan{key: o.next.ClaimKey, attempt: r.Attempt})
 		}
 	}
-	if len(p.rest) > 0 {
-		s.requeue(p.rest)
+	if len(p.postponed) > 0 {
+		s.requeue(p.postponed)
 	}
 }
 
-// abandon remembers the begins of a plan with an undetermined effect, which
-// are not dispatched.
-func (s *Shard) abandon(p *plan) {
+// addOrphans makes orphans of the begins of a plan with an undetermined
+// effect, since their calls are not dispatched.
+func (s *Shard) addOrphans(p *plan) {
 	for i, o := range p.ops {
 		if p.results[i].Kind == Run {
 			s.addOrphan(orphan{key: o.next.ClaimKey, attempt: p.results[i].Attempt, after: p.expected})
@@ -312,23 +325,26 @@
 	}
 }
 
+// addOrphan adds an orphan and drops the oldest one above maxOrphans. It starts
+// a commit if the claim can be marked as notRun already.
 func (s *Shard) addOrphan(o orphan) {
 	if len(s.orphans) >= maxOrphans {
 		s.orphans = s.orphans[1:]
 	}
 	s.orphans = append(s.orphans, o)
-	if o.after < s.ledger.version {
+	if o.after < s.cache.version {
 		notify(s.wake)
 	}
 }
 
-func (s *Shard) fail(ops []*operation, err error) {
+func (s *Shard) deliverError(ops []*operation, err error) {
 	for _, o := range ops {
 		o.deliver(result{err: err})
 	}
 }
 
-func (s *Shard) waiter(k ClaimKey) <-chan struct{} {
+// waitChannel returns a channel that is closed when the claim may have changed.
+func (s *Shard) waitChannel(k ClaimKey) <-chan struct{} {
 	if s.waiters == nil {
 		s.waiters = map[ClaimKey]chan struct{}{}
 	}
@@ -338,7 +354,7 @@
 	return s.waiters[k]
 }
 
-func (s *Shard) wakeWaiters() {
+func (s *Shard) notifyWaiters() {
 	for _, w := range s.waiters {
 		close(w)
 	}
--- a/btclaim/history_test.go
+++ b/btclaim/history_test.go
@@ -25,8 +25,8 @@
 	callsPerSeed = 4
 )
 
-// step is the input and the output of one operation of a history.
-type step struct {
+// historyOp is the input and the output of one begin or finish in a history.
+type historyOp struct {
 	key     ClaimKey
 	finish  bool
 	outcome bramleytack.Outcome
@@ -35,20 +35,20 @@
 	failed  bool
 }
 
-// held is the model's state of one key. An empty attempt is a free key.
-type held struct {
+// keyState is the model's state of one key. A free key has an empty attempt.
+type keyState struct {
 	attempt AttemptID
 	done    bool
 }
 
-// model allows a begin to win only while the key is free. Begins that do not
-// win are always safe, except that Replay needs a finished call. A finish that
-// failed may have taken effect.
+// model allows the decision Run only while the key is free, and Replay only
+// after a finish. InProgress, NoOutcome and a failed begin are always allowed.
+// A finish that failed may have taken effect.
 var model = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[ClaimKey][]porcupine.Operation{}
 		for _, o := range history {
-			k := o.Input.(step).key
+			k := o.Input.(historyOp).key
 			byKey[k] = append(byKey[k], o)
 		}
 		var parts [][]porcupine.Operation
@@ -57,17 +57,17 @@
 		}
 		return parts
 	},
-	Init: func() []any { return []any{held{}} },
+	Init: func() []any { return []any{keyState{}} },
 	Step: func(s, in, _ any) []any {
-		h, o := s.(held), in.(step)
+		h, o := s.(keyState), in.(historyOp)
 		if o.finish {
-			return stepFinish(h, o)
+			return applyFinish(h, o)
 		}
 		switch {
 		case o.failed || o.kind == InProgress || o.kind == NoOutcome:
 			return []any{h}
 		case o.kind == Run && h.attempt == "":
-			return []any{held{attempt: o.attempt}}
+			return []any{keyState{attempt: o.attempt}}
 		case o.kind == Replay && h.done:
 			return []any{h}
 		}
@@ -75,16 +75,16 @@
 	},
 }).ToModel()
 
-func stepFinish(h held, o step) []any {
+func applyFinish(h keyState, o historyOp) []any {
 	if h.attempt != o.attempt || h.done {
 		if o.failed {
 			return []any{h}
 		}
 		return nil
 	}
-	next := held{}
+	next := keyState{}
 	if o.outcome == bramleytack.Ran {
-		next = held{attempt: h.attempt, done: true}
+		next = keyState{attempt: h.attempt, done: true}
 	}
 	if o.failed {
 		return []any{h, next}
@@ -95,18 +95,18 @@
 // lateStore lets some writes take effect after they were reported as unknown.
 type lateStore struct {
 	*btmemstore.Store
-	mu    sync.Mutex
-	rng   *rand.Rand
-	share float64
-	// blind switches the conditional update off.
-	blind bool
+	mu        sync.Mutex
+	rng       *rand.Rand
+	lateShare float64
+	// unconditional ignores the expected version of writes.
+	unconditional bool
 }
 
 func (s *lateStore) Put(ctx context.Context, o bramleytack.Object, expected bramleytack.Revision) (bramleytack.Revision, error) {
 	s.mu.Lock()
-	late, delay := s.rng.Float64() < s.share, time.Duration(s.rng.IntN(40))*time.Millisecond
+	late, delay := s.rng.Float64() < s.lateShare, time.Duration(s.rng.IntN(40))*time.Millisecond
 	s.mu.Unlock()
-	if s.blind {
+	if s.unconditional {
 		expected = 0
 		if cur, err := s.Store.Get(ctx, o.Key); err == nil {
 			expected = cur.Version
@@ -122,8 +122,8 @@
 	return 0, bramleytack.ErrStoreUnknown
 }
 
-// world runs one history.
-type world struct {
+// simulation runs owners and clients under faults and records their history.
+type simulation struct {
 	t     *testing.T
 	timer *bttimer.Service
 	store *lateStore
@@ -132,90 +132,90 @@
 	rng      *rand.Rand
 	shards   [owners]*Shard
 	stop     [owners]context.CancelFunc
-	clock    int64
+	lastTime int64
 	history  []porcupine.Operation
 	executed map[ClaimKey]int
-	wins     int
+	claimed  int
 }
 
-func (w *world) intn(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.rng.IntN(n)
+func (sim *simulation) intn(n int) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.rng.IntN(n)
 }
 
-// start replaces an owner. All owners believe that they own the same shard.
-func (w *world) start(i int) {
-	ctx, cancel := context.WithCancel(w.t.Context())
+// start replaces an owner. All owners assume to own the same shard.
+func (sim *simulation) start(i int) {
+	ctx, cancel := context.WithCancel(sim.t.Context())
 	s := &Shard{
-		Store: w.store, Timer: w.timer, Cell: "c", SegmentBytes: 900,
-		RepeatWait: 30 * time.Millisecond,
+		Store: sim.store, Timer: sim.timer, Cell: "c", SegmentBytes: 900,
+		MaxRepeatWait: 30 * time.Millisecond,
 	}
 	go s.Run(ctx)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.stop[i] != nil {
-		w.stop[i]()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.stop[i] != nil {
+		sim.stop[i]()
 	}
-	w.shards[i], w.stop[i] = s, cancel
+	sim.shards[i], sim.stop[i] = s, cancel
 }
 
-func (w *world) owner() *Shard {
-	i := w.intn(owners)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.shards[i]
+func (sim *simulation) owner() *Shard {
+	i := sim.intn(owners)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.shards[i]
 }
 
-// record runs an operation and appends it to the history. The effect of a
-// failed operation may come at any later time.
-func (w *world) record(f func() step) step {
-	w.mu.Lock()
-	w.clock++
-	call := w.clock
-	w.mu.Unlock()
+// record runs an operation and appends it to the history. A failed operation
+// may take effect at any later time, so it never returns in the history.
+func (sim *simulation) record(f func() historyOp) historyOp {
+	sim.mu.Lock()
+	sim.lastTime++
+	call := sim.lastTime
+	sim.mu.Unlock()
 	s := f()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.clock++
-	op := porcupine.Operation{Input: s, Call: call, Return: w.clock}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.lastTime++
+	op := porcupine.Operation{Input: s, Call: call, Return: sim.lastTime}
 	if s.failed {
 		op.Return = math.MaxInt64
 	}
-	w.history = append(w.history, op)
+	sim.history = append(sim.history, op)
 	return s
 }
 
-func (w *world) client(ctx context.Context, id int) {
+func (sim *simulation) client(ctx context.Context, id int) {
 	for n := range callsPerSeed {
-		key := ClaimKey{Workspace: "a", Service: "orders", Key: fmt.Sprint(w.intn(2))}
-		ctx, cancel := context.WithTimeout(ctx, time.Duration(20+w.intn(400))*time.Millisecond)
-		begin := w.record(func() step {
-			d, err := w.owner().Begin(ctx, key, bramleytack.Fingerprint{}, "e", bramleytack.RequestID(fmt.Sprint(id, n)))
+		key := ClaimKey{Workspace: "a", Service: "orders", Key: fmt.Sprint(sim.intn(2))}
+		ctx, cancel := context.WithTimeout(ctx, time.Duration(20+sim.intn(400))*time.Millisecond)
+		begin := sim.record(func() historyOp {
+			d, err := sim.owner().Begin(ctx, key, bramleytack.Fingerprint{}, "e", bramleytack.RequestID(fmt.Sprint(id, n)))
 			if d.Kind == Replay {
-				assert.Check(w.t, len(d.Response.Body) > 0)
+				assert.Check(sim.t, len(d.Response.Body) > 0)
 			}
-			return step{key: key, kind: d.Kind, attempt: d.Attempt, failed: err != nil}
+			return historyOp{key: key, kind: d.Kind, attempt: d.Attempt, failed: err != nil}
 		})
 		cancel()
 		if !begin.failed && begin.kind == Run {
-			w.call(key, begin.attempt)
+			sim.dispatch(key, begin.attempt)
 		}
-		time.Sleep(time.Duration(w.intn(30)) * time.Millisecond)
+		time.Sleep(time.Duration(sim.intn(30)) * time.Millisecond)
 	}
 }
 
-// call simulates a dispatch: it runs, is refused as not run, or runs and its
-// outcome is never recorded.
-func (w *world) call(key ClaimKey, attempt AttemptID) {
-	time.Sleep(time.Duration(w.intn(30)) * time.Millisecond)
-	kind := w.intn(4)
-	w.mu.Lock()
-	w.wins++
+// dispatch simulates the dispatch of a call. The call runs, is rejected as not
+// run, or runs without a record of its outcome.
+func (sim *simulation) dispatch(key ClaimKey, attempt AttemptID) {
+	time.Sleep(time.Duration(sim.intn(30)) * time.Millisecond)
+	kind := sim.intn(4)
+	sim.mu.Lock()
+	sim.claimed++
 	if kind != 0 {
-		w.executed[key]++
+		sim.executed[key]++
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	if kind == 1 {
 		return
 	}
@@ -223,93 +223,95 @@
 	if kind == 0 {
 		o = bramleytack.NotRun
 	}
-	ctx, cancel := context.WithTimeout(w.t.Context(), 200*time.Millisecond)
+	ctx, cancel := context.WithTimeout(sim.t.Context(), 200*time.Millisecond)
 	defer cancel()
-	w.record(func() step {
-		err := w.owner().Finish(ctx, key, attempt, o, &bramleytack.Response{Status: 200, Body: []byte(attempt)})
-		return step{key: key, finish: true, outcome: o, attempt: attempt, failed: err != nil}
+	sim.record(func() historyOp {
+		err := sim.owner().Finish(ctx, key, attempt, o, &bramleytack.Response{Status: 200, Body: []byte(attempt)})
+		return historyOp{key: key, finish: true, outcome: o, attempt: attempt, failed: err != nil}
 	})
 }
 
-// disturb injects faults and replaces owners until ctx ends.
-func (w *world) disturb(ctx context.Context) {
+// injectFaults injects faults and replaces owners until ctx ends.
+func (sim *simulation) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		switch w.intn(7) {
+		switch sim.intn(7) {
 		case 0:
-			w.store.SetFault(btmemstore.Fault{LoseReplies: 1 + w.intn(3)})
+			sim.store.SetFault(btmemstore.Fault{LoseReplies: 1 + sim.intn(3)})
 		case 1:
-			w.store.SetFault(btmemstore.Fault{DropWrites: 1 + w.intn(6)})
+			sim.store.SetFault(btmemstore.Fault{DropWrites: 1 + sim.intn(6)})
 		case 2:
-			w.store.SetFault(btmemstore.Fault{Down: true})
+			sim.store.SetFault(btmemstore.Fault{Down: true})
 		case 3:
-			w.store.SetFault(btmemstore.Fault{StaleReads: uint64(1 + w.intn(1+int(w.store.Revision())))})
+			sim.store.SetFault(btmemstore.Fault{StaleReads: uint64(1 + sim.intn(1+int(sim.store.Revision())))})
 		case 4:
-			w.store.SetFault(btmemstore.Fault{Latency: time.Duration(1+w.intn(30)) * time.Millisecond})
+			sim.store.SetFault(btmemstore.Fault{Latency: time.Duration(1+sim.intn(30)) * time.Millisecond})
 		case 5:
-			w.start(w.intn(owners))
+			sim.start(sim.intn(owners))
 		default:
-			w.store.SetFault(btmemstore.Fault{})
+			sim.store.SetFault(btmemstore.Fault{})
 		}
-		_ = w.timer.Sleep(ctx, time.Duration(w.intn(40))*time.Millisecond)
+		_ = sim.timer.Sleep(ctx, time.Duration(sim.intn(40))*time.Millisecond)
 	}
 }
 
-func runWorld(t *testing.T, seed uint64, blind bool) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), executed: map[ClaimKey]int{}}
+func simulate(t *testing.T, seed uint64, unconditional bool) *simulation {
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), executed: map[ClaimKey]int{}}
 	synctest.Test(t, func(t *testing.T) {
-		w.t = t
-		w.timer = bttimer.New(seed)
-		defer w.timer.Close()
-		w.store = &lateStore{Store: btmemstore.New(), rng: rand.New(rand.NewPCG(seed, 2)), share: 0.1, blind: blind}
+		sim.t = t
+		sim.timer = bttimer.New(seed)
+		defer sim.timer.Close()
+		sim.store = &lateStore{Store: btmemstore.New(), rng: rand.New(rand.NewPCG(seed, 2)), lateShare: 0.1, unconditional: unconditional}
 		for i := range owners {
-			w.start(i)
+			sim.start(i)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var faults, calls sync.WaitGroup
-		faults.Go(func() { w.disturb(ctx) })
+		faults.Go(func() { sim.injectFaults(ctx) })
 		for id := range clients {
-			calls.Go(func() { w.client(ctx, id) })
+			calls.Go(func() { sim.client(ctx, id) })
 		}
 		calls.Wait()
 		cancel()
 		faults.Wait()
-		for _, stop := range w.stop {
+		for _, stop := range sim.stop {
 			stop()
 		}
 		// Owners end their last commit within its timeout.
 		time.Sleep(2 * commitTimeout)
 	})
-	return w
+	return sim
 }
 
-// violated says whether the history lets two calls of a key run.
-func (w *world) violated() bool {
-	for _, n := range w.executed {
+// violated reports whether two calls of a key ran or the model rejects the
+// history.
+func (sim *simulation) violated() bool {
+	for _, n := range sim.executed {
 		if n > 1 {
 			return true
 		}
 	}
-	return !porcupine.CheckOperations(model, w.history)
+	return !porcupine.CheckOperations(model, sim.history)
 }
 
-// Guards against two winners of one key: owners that race or are replaced, lost
-// replies, dropped and late writes, stale reads, outages and lost finishes.
+// Guards against two calls that both claim one key while owners race and are
+// replaced, writes are late or dropped, replies and finishes are lost, reads
+// are stale or the store is down.
 func TestHistories(t *testing.T) {
-	wins := 0
+	total := 0
 	for seed := range uint64(seeds) {
-		w := runWorld(t, seed, false)
-		assert.Assert(t, !w.violated(), "seed %d", seed)
-		wins += w.wins
+		sim := simulate(t, seed, false)
+		assert.Assert(t, !sim.violated(), "seed %d", seed)
+		total += sim.claimed
 	}
-	assert.Assert(t, wins > seeds, "only %d claims were won", wins)
+	assert.Assert(t, total > seeds, "only %d keys were claimed", total)
 }
 
 // Guards against a history check that cannot fail: without the conditional
-// update it must find two winners.
+// update it must find a key that two calls claimed.
 func TestHistoriesWithoutCondition(t *testing.T) {
 	found := 0
 	for seed := range uint64(seeds / 4) {
-		if runWorld(t, seed, true).violated() {
+		if simulate(t, seed, true).violated() {
 			found++
 		}
 	}
--- a/btclaim/plan.go
+++ b/btclaim/plan.go
@@ -7,38 +7,45 @@
 	"bramleytack"
 )
 
-// plan is one commit: the answers of operations and the records that must be
-// in the store before the answers are given.
+// plan is one commit: the results of operations and the records that must be
+// in the store before the results are delivered.
 type plan struct {
-	change   string
+	// changeID identifies the commit in the records that it writes.
+	changeID string
+	// expected is the version of the head that the plan is based on.
 	expected bramleytack.Revision
-	header   header
-	lines    []byte
-	records  []record
-	// rolled is the segment that takes the head's current records.
-	rolled *segment
-	// ops are the operations that the plan answers, rest the others.
-	ops     []*operation
-	results []result
-	rest    []*operation
-	// missing is set when a finish found no claim of its attempt.
-	missing bool
-	overlay map[ClaimKey]record
-	added   []byte
+	// header and lines are the content of the new head.
+	header  header
+	lines   []byte
+	records []record
+	// newSegment, if set, is the segment that the head's current records move
+	// to.
+	newSegment *segment
+	// ops are the operations that the plan decides. postponed are those that
+	// are left to the next commit.
+	ops       []*operation
+	results   []result
+	postponed []*operation
+	// attemptNotFound is set if a finish found no claim with its attempt.
+	attemptNotFound bool
+	// planned holds the newest planned record of each key, addedLines all
+	// planned records as encoded.
+	planned    map[ClaimKey]record
+	addedLines []byte
 }
 
-// plan decides operations on the loaded ledger. It changes nothing.
+// plan decides operations on the cached shard, which it does not change.
 func (s *Shard) plan(ops []*operation) (*plan, error) {
-	p := &plan{change: rand.Text(), expected: s.ledger.version, overlay: map[ClaimKey]record{}}
-	if err := s.planRepairs(p); err != nil {
+	p := &plan{changeID: rand.Text(), expected: s.cache.version, planned: map[ClaimKey]record{}}
+	if err := s.planOrphans(p); err != nil {
 		return nil, err
 	}
 	for i, o := range ops {
-		if len(p.added) >= s.segmentBytes() {
-			p.rest = ops[i:]
+		if len(p.addedLines) >= s.segmentBytes() {
+			p.postponed = ops[i:]
 			break
 		}
-		r, err := s.planOne(p, o)
+		r, err := s.planOperation(p, o)
 		if err != nil {
 			return nil, err
 		}
@@ -49,11 +56,11 @@
 	return p, nil
 }
 
-// planRepairs marks attempts that were claimed but never dispatched as notRun.
-func (s *Shard) planRepairs(p *plan) error {
+// planOrphans marks the claims of orphans as notRun.
+func (s *Shard) planOrphans(p *plan) error {
 	for _, o := range s.orphans {
-		cur, ok := s.ledger.get(o.key)
-		if s.ledger.version <= o.after || !ok || cur.Attempt != o.attempt || cur.State != claimed {
+		cur, ok := s.cache.get(o.key)
+		if s.cache.version <= o.after || !ok || cur.Attempt != o.attempt || cur.State != claimed {
 			continue
 		}
 		cur.State = notRun
@@ -64,39 +71,39 @@
 	return nil
 }
 
-func (s *Shard) planOne(p *plan, o *operation) (result, error) {
-	cur, ok := p.overlay[o.next.ClaimKey]
+func (s *Shard) planOperation(p *plan, o *operation) (result, error) {
+	cur, ok := p.planned[o.next.ClaimKey]
 	if !ok {
-		cur, ok = s.ledger.get(o.next.ClaimKey)
+		cur, ok = s.cache.get(o.next.ClaimKey)
 	}
 	if o.finish {
 		return p.planFinish(o, cur)
 	}
-	d := o.decide(cur, ok, s.Timer.Now(), or(s.ProgressLimit, DefaultProgressLimit))
+	d := o.decide(cur, ok, s.Timer.Now(), orDefault(s.OutcomeTimeout, DefaultOutcomeTimeout))
 	if d.Kind != Run {
 		return result{Decision: d}, nil
 	}
 	return result{Decision: d}, p.add(o.next)
 }
 
-// planFinish records an outcome once: the first one of an attempt stays.
+// planFinish records the first outcome of an attempt and ignores later ones.
 func (p *plan) planFinish(o *operation, cur record) (result, error) {
 	if o.next.Attempt == "" {
 		return p.planAbandon(o, cur)
 	}
 	if cur.Attempt != o.next.Attempt {
-		p.missing = true
-		return result{err: errNoClaim}, nil
+		p.attemptNotFound = true
+		return result{err: errNoSuchAttempt}, nil
 	}
 	if cur.State != claimed {
 		return result{}, nil
 	}
-	cur.State, cur.Answer = o.next.State, o.next.Answer
+	cur.State, cur.Response = o.next.State, o.next.Response
 	return result{}, p.add(cur)
 }
 
-// planAbandon frees the key if the claim belongs to the call. Otherwise the
-// begin of the call had no effect.
+// planAbandon marks the claim as notRun if it belongs to the same request of
+// the same entry daemon. Otherwise the begin of that request had no effect.
 func (p *plan) planAbandon(o *operation, cur record) (result, error) {
 	if cur.State != claimed || cur.Request != o.next.Request || cur.Entry != o.next.Entry {
 		return result{}, nil
@@ -105,40 +112,42 @@
 	return result{}, p.add(cur)
 }
 
+// add plans to write a record.
 func (p *plan) add(r record) error {
-	r.Change = p.change
+	r.ChangeID = p.changeID
 	line, err := encodeRecord(r)
 	if err != nil {
 		return err
 	}
-	p.overlay[r.ClaimKey] = r
+	p.planned[r.ClaimKey] = r
 	p.records = append(p.records, r)
-	p.added = append(p.added, line...)
+	p.addedLines = append(p.addedLines, line...)
 	return nil
 }
 
-// planHead decides the new head: which segments it drops and whether the
-// current records move to a segment.
+// planHead sets the header and the lines of the new head. It drops segments
+// whose retention has ended and moves the current records to a segment if the
+// head would become too large.
 func (s *Shard) planHead(p *plan) {
-	l := &s.ledger
+	cache := &s.cache
 	p.header = header{SchemaVersion: schemaVersion}
-	for _, d := range l.header.Dropped {
-		if !s.gone[d.Name] {
+	for _, d := range cache.header.Dropped {
+		if !s.deletedSegments[d.Name] {
 			p.header.Dropped = append(p.header.Dropped, d)
 		}
 	}
-	// Only the oldest are dropped, so that the records that stay are always
-	// the newest of their keys.
-	oldest := s.Timer.Now().Add(-or(s.Retention, DefaultRetention))
-	keep := l.header.Segments
-	for len(keep) > 0 && keep[0].Newest.Before(oldest) {
-		p.header.Dropped = append(p.header.Dropped, keep[0])
-		keep = keep[1:]
+	// Segments are dropped from the oldest on and without gaps, so that the
+	// newest record of a key is never dropped before an older one.
+	oldest := s.Timer.Now().Add(-orDefault(s.Retention, DefaultRetention))
+	kept := cache.header.Segments
+	for len(kept) > 0 && kept[0].Newest.Before(oldest) {
+		p.header.Dropped = append(p.header.Dropped, kept[0])
+		kept = kept[1:]
 	}
-	p.header.Segments = append(p.header.Segments, keep...)
-	p.lines = append(bytes.Clone(l.lines), p.added...)
-	if len(l.lines) > 0 && len(p.lines) > s.segmentBytes() {
-		p.rolled = &segment{Name: segmentName(l.version), Newest: l.newest}
-		p.lines = p.added
+	p.header.Segments = append(p.header.Segments, kept...)
+	p.lines = append(bytes.Clone(cache.headLines), p.addedLines...)
+	if len(cache.headLines) > 0 && len(p.lines) > s.segmentBytes() {
+		p.newSegment = &segment{Name: segmentName(cache.version), Newest: cache.newestClaim}
+		p.lines = p.addedLines
 	}
 }
--- a/btclaim/record.go
+++ b/btclaim/record.go
@@ -14,11 +14,11 @@
 	"bramleytack"
 )
 
-// MaxKeptResponseBytes is the size of the largest answer that is kept, counting its
-// body and headers.
+// MaxKeptResponseBytes is the size of the largest response that is kept,
+// counting its body and headers.
 const MaxKeptResponseBytes = 4096
 
-var errFormat = errors.New("btclaim: malformed object")
+var errMalformed = errors.New("btclaim: malformed object")
 
 // state is the state of a claim.
 type state string
@@ -32,41 +32,43 @@
 // record is the state of one claim after one change.
 type record struct {
 	ClaimKey
-	State   state                 `json:"state"`
-	Attempt AttemptID             `json:"attempt"`
-	Body    []byte                `json:"body"`
-	Entry   bramleytack.HostID    `json:"entry"`
-	Request bramleytack.RequestID `json:"request"`
-	// At is when the key was claimed.
-	At time.Time `json:"at"`
-	// Change is the change id of the commit that wrote the record.
-	Change string  `json:"change"`
-	Answer *answer `json:"answer,omitempty"`
+	State     state                 `json:"state"`
+	Attempt   AttemptID             `json:"attempt"`
+	Body      []byte                `json:"body"`
+	Entry     bramleytack.HostID    `json:"entry"`
+	Request   bramleytack.RequestID `json:"request"`
+	ClaimedAt time.Time             `json:"at"`
+	// ChangeID identifies the commit that wrote the record.
+	ChangeID string          `json:"change"`
+	Response *storedResponse `json:"answer,omitempty"`
 }
 
-// answer describes the answer of a call that ran.
-type answer struct {
-	Status int    `json:"status"`
+// storedResponse describes the response of a call that ran. Status and Digest
+// are empty if the call ran without a response.
+type storedResponse struct {
+	Status int `json:"status"`
+	// Digest is the SHA-256 hash of the response's body.
 	Digest []byte `json:"digest"`
-	// Kept says whether Header and Body are the whole answer.
+	// Kept reports whether Header and Body hold the whole response. Otherwise
+	// they are empty.
 	Kept   bool        `json:"kept"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
-func newAnswer(r *bramleytack.Response) *answer {
+func newStoredResponse(r *bramleytack.Response) *storedResponse {
 	if r == nil {
-		return &answer{}
+		return &storedResponse{}
 	}
 	digest := sha256.Sum256(r.Body)
-	a := &answer{Status: r.Status, Digest: digest[:]}
-	if answerBytes(r) <= MaxKeptResponseBytes && validHeader(r.Header) {
-		a.Kept, a.Header, a.Body = true, r.Header, r.Body
+	stored := &storedResponse{Status: r.Status, Digest: digest[:]}
+	if responseBytes(r) <= MaxKeptResponseBytes && validHeader(r.Header) {
+		stored.Kept, stored.Header, stored.Body = true, r.Header, r.Body
 	}
-	return a
+	return stored
 }
 
-func answerBytes(r *bramleytack.Response) int {
+func responseBytes(r *bramleytack.Response) int {
 	n := len(r.Body)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -76,7 +78,8 @@
 	return n
 }
 
-// validHeader says whether a header survives a round trip through JSON.
+// validHeader reports whether a header is valid UTF-8, so that JSON does not
+// change it.
 func validHeader(h http.Header) bool {
 	for name, values := range h {
 		if !utf8.ValidString(name + strings.Join(values, "")) {
@@ -86,15 +89,16 @@
 	return true
 }
 
-func (a *answer) decision() Decision {
-	if a == nil {
+// decision returns the decision of a repeat of the call.
+func (r *storedResponse) decision() Decision {
+	if r == nil {
 		return Decision{Kind: ResponseNotKept}
 	}
-	d := Decision{Kind: ResponseNotKept, Status: a.Status}
-	copy(d.Digest[:], a.Digest)
-	if a.Kept {
+	d := Decision{Kind: ResponseNotKept, Status: r.Status}
+	copy(d.Digest[:], r.Digest)
+	if r.Kept {
 		d.Kind = Replay
-		d.Response = &bramleytack.Response{Status: a.Status, Header: a.Header.Clone(), Body: bytes.Clone(a.Body)}
+		d.Response = &bramleytack.Response{Status: r.Status, Header: r.Header.Clone(), Body: bytes.Clone(r.Body)}
 	}
 	return d
 }
@@ -103,11 +107,11 @@
 type segment struct {
 	Name    string               `json:"name"`
 	Version bramleytack.Revision `json:"version"`
-	// Newest is the time of the newest claim.
+	// Newest is the time of the newest claim in the segment.
 	Newest time.Time `json:"newest"`
 }
 
-// schemaVersion is the version of the stored form.
+// schemaVersion is the version of the stored format.
 const schemaVersion = 1
 
 // header is the head object without its records.
@@ -115,19 +119,20 @@
 	SchemaVersion int `json:"schemaVersion"`
 	// Segments lists the shard's segments, oldest first.
 	Segments []segment `json:"segments,omitempty"`
-	// Dropped lists segments past their retention that are yet to be deleted.
+	// Dropped lists segments whose retention has ended and that are yet to be
+	// deleted.
 	Dropped []segment `json:"dropped,omitempty"`
 }
 
-// document is the stored form of the head and of a segment, which has only
-// records. A value of the store is one JSON value.
+// document is the stored format of the head and of a segment, whose header has
+// only the schema version. The store takes one JSON value for each object.
 type document struct {
 	header
 	Records []json.RawMessage `json:"records"`
 }
 
-// encodeDocument joins a header and encoded records, which are not parsed
-// again: each commit writes the whole head.
+// encodeDocument joins a header and encoded records, one a line. Each commit
+// writes the whole head, so the records are not parsed and encoded again.
 func encodeDocument(h header, lines []byte) ([]byte, error) {
 	b, err := json.Marshal(h)
 	if err != nil {
@@ -139,16 +144,17 @@
 	return append(b, "]}"...), nil
 }
 
-// decodeDocument returns the header, the encoded records and the records.
+// decodeDocument returns the header, the encoded records, one a line, and the
+// decoded records.
 func decodeDocument(b []byte) (header, []byte, []record, error) {
 	var d document
 	if err := json.Unmarshal(b, &d); err != nil {
-		return d.header, nil, nil, errors.Mark(errors.Wrap(err, "btclaim: decoding head"), errFormat)
+		return d.header, nil, nil, errors.Mark(errors.Wrap(err, "btclaim: decoding head"), errMalformed)
 	}
 	var lines bytes.Buffer
 	for _, raw := range d.Records {
 		if err := json.Compact(&lines, raw); err != nil {
-			return d.header, nil, nil, errors.Mark(errors.Wrap(err, "btclaim: decoding record"), errFormat)
+			return d.header, nil, nil, errors.Mark(errors.Wrap(err, "btclaim: decoding record"), errMalformed)
 		}
 		lines.WriteByte('\n')
 	}
@@ -169,11 +175,11 @@
 	for len(b) > 0 {
 		line, rest, ok := bytes.Cut(b, []byte{'\n'})
 		if !ok {
-			return nil, errors.Wrap(errFormat, "record without end")
+			return nil, errors.Wrap(errMalformed, "record does not end with a newline")
 		}
 		var r record
 		if err := json.Unmarshal(line, &r); err != nil {
-			return nil, errors.Mark(errors.Wrap(err, "btclaim: decoding record"), errFormat)
+			return nil, errors.Mark(errors.Wrap(err, "btclaim: decoding record"), errMalformed)
 		}
 		records = append(records, r)
 		b = rest
--- a/btclaim/shard.go
+++ b/btclaim/shard.go
@@ -12,18 +12,20 @@
 
 // Defaults of a Shard.
 const (
-	DefaultInterval      = 20 * time.Millisecond
-	DefaultRetention     = 24 * time.Hour
-	DefaultSegmentBytes  = 256 << 10
-	DefaultRepeatWait    = 2 * time.Second
-	DefaultProgressLimit = time.Minute
+	DefaultInterval       = 20 * time.Millisecond
+	DefaultRetention      = 24 * time.Hour
+	DefaultSegmentBytes   = 256 << 10
+	DefaultMaxRepeatWait  = 2 * time.Second
+	DefaultOutcomeTimeout = time.Minute
 )
 
-// Kind is the kind of the objects that hold claims.
+// Kind is the store kind of the heads and segments of all shards.
 const Kind = "claim"
 
-// Shard owns one shard's claims and implements Claims for them. Set Store,
-// Timer, Cell and Number before use; other zero values select the defaults.
+// Shard implements Claims for the keys of one shard in the daemon that owns it.
+// Set Store, Timer, Cell and Number before use; other zero values select the
+// defaults. Begin, Finish and Abandon wait for Run, which must run once. They
+// may be called concurrently.
 type Shard struct {
 	Store  bramleytack.Store
 	Timer  bramleytack.Timer
@@ -31,32 +33,36 @@
 	Number int
 	// Interval is the least time between two commits.
 	Interval time.Duration
-	// Retention is how long claims are kept.
+	// Retention is the least time that a claim is kept.
 	Retention time.Duration
-	// SegmentBytes is the size of the head at which a new segment starts. Each
-	// commit writes the whole head, so it is well under the store's limit.
+	// SegmentBytes is the size of the head's records from which they move to a
+	// new segment. Each commit writes the whole head, so it must be well under
+	// bramleytack.MaxObjectBytes.
 	SegmentBytes int
-	// RepeatWait is how long a repeat waits for the outcome of the first call.
-	RepeatWait time.Duration
-	// ProgressLimit is the age from which a claim without outcome counts as
-	// lost. It should exceed the longest timeout of a call.
-	ProgressLimit time.Duration
-
-	mu     sync.Mutex
-	queue  []*operation
+	// MaxRepeatWait bounds how long a repeat waits for the outcome of the first
+	// call.
+	MaxRepeatWait time.Duration
+	// OutcomeTimeout is the age of a claim from which its outcome is no longer
+	// expected. It should exceed the longest timeout of a call.
+	OutcomeTimeout time.Duration
+
+	mu    sync.Mutex
+	queue []*operation
+	// wake receives a value when Run has work.
 	wake   chan struct{}
 	closed bool
 
-	// The fields below belong to run.
-	loaded  bool
-	ledger  ledger
-	orphans []orphan
-	waiters map[ClaimKey]chan struct{}
-	gone    map[string]bool
+	// The fields below are used only by Run. loaded reports whether cache was
+	// read from the store.
+	loaded          bool
+	cache           shardCache
+	orphans         []orphan
+	waiters         map[ClaimKey]chan struct{}
+	deletedSegments map[string]bool
 }
 
-// Begin implements Claims. A repeat of a call that has no outcome yet waits up
-// to RepeatWait for it.
+// Begin implements Claims. A repeat of a call that has no outcome yet waits for
+// it up to MaxRepeatWait.
 func (s *Shard) Begin(ctx context.Context, key ClaimKey, body bramleytack.Fingerprint, entry bramleytack.HostID, request bramleytack.RequestID) (Decision, error) {
 	if err := key.validate(); err != nil {
 		return Decision{}, err
@@ -66,36 +72,36 @@
 	if r.err != nil || r.Kind != InProgress {
 		return r.Decision, r.err
 	}
-	patience := s.Timer.After(or(s.RepeatWait, DefaultRepeatWait))
-	defer patience.Stop()
+	timeout := s.Timer.After(orDefault(s.MaxRepeatWait, DefaultMaxRepeatWait))
+	defer timeout.Stop()
 	for r.Kind == InProgress {
-		refresh := false
+		reload := false
 		select {
-		case <-r.settled:
-		case <-patience.C():
+		case <-r.changed:
+		case <-timeout.C():
 			// The outcome may have been recorded by another owner.
-			refresh = true
+			reload = true
 		case <-ctx.Done():
 			return r.Decision, nil
 		}
-		again := s.begin(ctx, next, refresh)
+		again := s.begin(ctx, next, reload)
 		if again.err != nil {
-			// The earlier call may have run, so the error's outcome is not
-			// the outcome of the key.
+			// The error's outcome is NotRun, but the earlier call may have
+			// run, so the decision before the error is returned.
 			return r.Decision, nil
 		}
 		r = again
-		if refresh {
+		if reload {
 			break
 		}
 	}
 	return r.Decision, nil
 }
 
-func (s *Shard) begin(ctx context.Context, next record, refresh bool) result {
-	next.Attempt, next.At = AttemptID(rand.Text()), s.Timer.Now()
+func (s *Shard) begin(ctx context.Context, next record, reload bool) result {
+	next.Attempt, next.ClaimedAt = AttemptID(rand.Text()), s.Timer.Now()
 	o := newOperation(next)
-	o.refresh = refresh
+	o.reload = reload
 	return s.submit(ctx, o)
 }
 
@@ -106,7 +112,7 @@
 	case bramleytack.NotRun:
 		next.State = notRun
 	case bramleytack.Ran:
-		next.State, next.Answer = done, newAnswer(response)
+		next.State, next.Response = done, newStoredResponse(response)
 	default:
 		return nil
 	}
@@ -115,18 +121,18 @@
 	return s.submit(ctx, o).err
 }
 
-// Abandon marks the claim of a call as notRun although its attempt is not
-// known. Only the entry of a call that will never be dispatched may use it, such
-// as one whose begin at another owner got no answer.
+// Abandon marks the claim of a call as notRun. Unlike Finish, it needs no
+// attempt id: it serves a call whose begin at a remote owner got no reply. Only
+// the entry daemon of the call may use it, and it must never dispatch the call.
 func (s *Shard) Abandon(ctx context.Context, key ClaimKey, entry bramleytack.HostID, request bramleytack.RequestID) error {
 	o := newOperation(record{ClaimKey: key, State: notRun, Entry: entry, Request: request})
 	o.finish = true
-	o.refresh = true
+	o.reload = true
 	return s.submit(ctx, o).err
 }
 
-// Run commits operations until ctx ends. It reads the shard when the first
-// operation arrives.
+// Run commits operations until ctx ends; later operations fail. It reads the
+// shard from the store when the first operation arrives.
 func (s *Shard) Run(ctx context.Context) {
 	wake := s.wakeChannel()
 	for {
@@ -136,13 +142,13 @@
 			s.close()
 			return
 		}
-		if s.commit(ctx, s.take()) {
-			_ = s.Timer.Sleep(ctx, or(s.Interval, DefaultInterval))
+		if s.commit(ctx, s.takeQueue()) {
+			_ = s.Timer.Sleep(ctx, orDefault(s.Interval, DefaultInterval))
 		}
 	}
 }
 
-// submit queues an operation and waits for its result.
+// submit queues an operation and waits for its result or for the end of ctx.
 func (s *Shard) submit(ctx context.Context, o *operation) result {
 	if !s.enqueue(o) {
 		return result{err: errClosed}
@@ -152,7 +158,7 @@
 		return r
 	case <-ctx.Done():
 	}
-	if o.owner.CompareAndSwap(waiting, abandoned) {
+	if o.delivery.CompareAndSwap(waiting, abandoned) {
 		return result{err: errTimeout.WithCause(ctx.Err())}
 	}
 	return <-o.result
@@ -170,7 +176,7 @@
 	return true
 }
 
-func (s *Shard) take() []*operation {
+func (s *Shard) takeQueue() []*operation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ops := s.queue
@@ -178,7 +184,7 @@
 	return ops
 }
 
-// requeue puts operations that a commit left over before all others.
+// requeue puts the operations that a commit postponed at the front of the queue.
 func (s *Shard) requeue(ops []*operation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,6 +192,7 @@
 	notify(s.wake)
 }
 
+// close rejects the queued operations and all later ones.
 func (s *Shard) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -206,12 +213,12 @@
 	return s.wake
 }
 
-// object returns the key of one of the shard's objects.
-func (s *Shard) object(name string) bramleytack.Key {
+// objectKey returns the store key of the shard's head or of a segment.
+func (s *Shard) objectKey(name string) bramleytack.Key {
 	return bramleytack.Key{Kind: Kind, Name: string(s.Cell) + "." + strconv.Itoa(s.Number) + "." + name}
 }
 
-func (s *Shard) headKey() bramleytack.Key { return s.object("head") }
+func (s *Shard) headKey() bramleytack.Key { return s.objectKey("head") }
 
 func (s *Shard) segmentBytes() int {
 	if s.SegmentBytes > 0 {
@@ -227,7 +234,7 @@
 	}
 }
 
-func or(d, fallback time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
--- a/btclaim/shard_test.go
+++ b/btclaim/shard_test.go
@@ -16,7 +16,8 @@
 	"bramleytack/internal/btmemstore"
 )
 
-// env starts any number of owners of one shard over one store.
+// env starts shards over one store. Each acts as the same shard at another
+// daemon.
 type env struct {
 	t     *testing.T
 	store *btmemstore.Store
@@ -60,14 +61,14 @@
 	assert.NilError(t, c.Finish(t.Context(), key(name), a, o, r))
 }
 
-// assertRefused checks that a call is not dispatched and says so.
-func assertRefused(t *testing.T, err error) {
+// assertNotRun checks that err has the outcome NotRun.
+func assertNotRun(t *testing.T, err error) {
 	t.Helper()
 	assert.Assert(t, err != nil)
 	assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
 }
 
-// Guards against wrong answers to repeats.
+// Guards against wrong decisions on repeats.
 func TestShardStates(t *testing.T) {
 	run(t, "done is replayed by another owner", func(t *testing.T, e env) {
 		a := e.shard()
@@ -78,22 +79,22 @@
 		assert.Equal(t, r.Response.Header.Get("X"), "1")
 		assert.Equal(t, r.Status, 201)
 	})
-	run(t, "notRun frees the key, and a late finish of the old attempt is refused", func(t *testing.T, e env) {
+	run(t, "notRun frees the key, and a late finish of the old attempt fails", func(t *testing.T, e env) {
 		a := e.shard()
 		d := assertBegin(t, a, "k", Run)
 		assertFinish(t, a, "k", d.Attempt, bramleytack.NotRun)
 		assertBegin(t, e.shard(), "k", Run)
 		err := e.shard().Finish(t.Context(), key("k"), d.Attempt, bramleytack.Ran, nil)
-		assert.ErrorIs(t, err, errNoClaim)
+		assert.ErrorIs(t, err, errNoSuchAttempt)
 	})
-	run(t, "the first outcome of an attempt stays", func(t *testing.T, e env) {
+	run(t, "a later outcome of an attempt is ignored", func(t *testing.T, e env) {
 		a := e.shard()
 		d := assertBegin(t, a, "k", Run)
 		assertFinish(t, a, "k", d.Attempt, bramleytack.Ran)
 		assertFinish(t, a, "k", d.Attempt, bramleytack.NotRun)
 		assertBegin(t, a, "k", Replay)
 	})
-	run(t, "another body is refused in every state", func(t *testing.T, e env) {
+	run(t, "another body is rejected in every state", func(t *testing.T, e env) {
 		a := e.shard()
 		d := assertBegin(t, a, "k", Run)
 		for _, o := range []bramleytack.Outcome{bramleytack.Unknown, bramleytack.NotRun} {
@@ -103,7 +104,7 @@
 			assert.Equal(t, other.Kind, KeyReused)
 		}
 	})
-	run(t, "a long answer is not kept", func(t *testing.T, e env) {
+	run(t, "a long response is not kept", func(t *testing.T, e env) {
 		a := e.shard()
 		d := assertBegin(t, a, "k", Run)
 		r := &bramleytack.Response{Status: 200, Body: make([]byte, MaxKeptResponseBytes+1)}
@@ -113,10 +114,10 @@
 	run(t, "a claim without outcome is never run again", func(t *testing.T, e env) {
 		assertBegin(t, e.shard(), "k", Run)
 		assertBegin(t, e.shard(), "k", InProgress)
-		time.Sleep(DefaultProgressLimit)
+		time.Sleep(DefaultOutcomeTimeout)
 		assertBegin(t, e.shard(), "k", NoOutcome)
 	})
-	run(t, "an abandoned begin frees the key, and no other call's claim", func(t *testing.T, e env) {
+	run(t, "an abandoned begin frees its own key only", func(t *testing.T, e env) {
 		a := e.shard()
 		assertBegin(t, a, "k", Run)
 		assert.NilError(t, e.shard().Abandon(t.Context(), key("k"), "e", "other"))
@@ -128,38 +129,38 @@
 		a := e.shard()
 		d := assertBegin(t, a, "k", Run)
 		go func() {
-			time.Sleep(DefaultRepeatWait / 2)
+			time.Sleep(DefaultMaxRepeatWait / 2)
 			assertFinish(t, a, "k", d.Attempt, bramleytack.Ran)
 		}()
 		start := time.Now()
 		assertBegin(t, a, "k", Replay)
-		assert.Assert(t, time.Since(start) < DefaultRepeatWait)
+		assert.Assert(t, time.Since(start) < DefaultMaxRepeatWait)
 	})
 	run(t, "a repeat finds the outcome that another owner recorded", func(t *testing.T, e env) {
 		a, b := e.shard(), e.shard()
 		assertBegin(t, b, "warm-up", Run)
 		d := assertBegin(t, a, "k", Run)
 		go func() {
-			time.Sleep(DefaultRepeatWait / 2)
+			time.Sleep(DefaultMaxRepeatWait / 2)
 			assertFinish(t, b, "k", d.Attempt, bramleytack.Ran)
 		}()
 		assertBegin(t, a, "k", Replay)
 	})
-	run(t, "a key that JSON would change is refused", func(t *testing.T, e env) {
+	run(t, "a key that is not UTF-8 is rejected", func(t *testing.T, e env) {
 		_, err := begin(t, e.shard(), "\xff")
-		assertRefused(t, err)
+		assertNotRun(t, err)
 	})
 }
 
-// Guards against calls that run twice, or are reported as run, when the store
-// misbehaves during a begin.
+// Guards against calls that run twice, or that are not dispatched but stay
+// claimed, after a fault of the store during a begin.
 func TestShardFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault btmemstore.Fault
-		wins  bool
-		// later is the decision of a repeat at another owner after recovery,
-		// once the first owner has committed again.
-		later DecisionKind
+		fault  btmemstore.Fault
+		claims bool
+		// repeat is the decision of a repeat at another owner, after the fault
+		// is over and the first owner has committed again.
+		repeat DecisionKind
 	}{
 		"lost reply":              {btmemstore.Fault{LoseReplies: 1}, true, InProgress},
 		"two lost replies":        {btmemstore.Fault{LoseReplies: 2}, true, InProgress},
@@ -174,31 +175,31 @@
 			assertBegin(t, a, "warm-up", Run)
 			e.store.SetFault(c.fault)
 			d, err := begin(t, a, "k")
-			if c.wins {
+			if c.claims {
 				assert.NilError(t, err)
 				assert.Equal(t, d.Kind, Run)
 			} else {
-				assertRefused(t, err)
+				assertNotRun(t, err)
 			}
 			e.store.SetFault(btmemstore.Fault{})
 			time.Sleep(time.Second)
 			assertBegin(t, a, "other", Run)
 			assertBegin(t, a, "another", Run)
-			assertBegin(t, e.shard(), "k", c.later)
+			assertBegin(t, e.shard(), "k", c.repeat)
 		})
 	}
-	run(t, "a caller that has gone frees its claim", func(t *testing.T, e env) {
+	run(t, "a begin whose context ends frees the key", func(t *testing.T, e env) {
 		a := e.shard()
 		assertBegin(t, a, "warm-up", Run)
 		e.store.SetFault(btmemstore.Fault{Latency: time.Second})
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		_, err := a.Begin(ctx, key("k"), bramleytack.Fingerprint{1}, "e", "r")
-		assertRefused(t, err)
+		assertNotRun(t, err)
 		time.Sleep(10 * time.Second)
 		assertBegin(t, e.shard(), "k", Run)
 	})
-	run(t, "a repeat of an open claim never hears notRun", func(t *testing.T, e env) {
+	run(t, "a repeat of a claim without outcome never gets NotRun", func(t *testing.T, e env) {
 		a := e.shard()
 		assertBegin(t, a, "k", Run)
 		e.store.SetFault(btmemstore.Fault{Down: true})
@@ -206,8 +207,8 @@
 	})
 }
 
-// Guards against claims that are lost, doubled or kept for ever when the head
-// starts new segments.
+// Guards against claims that are lost, granted twice or never deleted when
+// records move from the head to segments.
 func TestShardSegments(t *testing.T) {
 	names := func(t *testing.T, e env) string {
 		list, _, err := e.store.List(t.Context(), Kind)
@@ -228,9 +229,9 @@
 		for i := range 20 {
 			assertBegin(t, b, fmt.Sprint(i), InProgress)
 		}
-		assert.Assert(t, len(a.ledger.header.Segments) > 2)
+		assert.Assert(t, len(a.cache.header.Segments) > 2)
 	})
-	run(t, "an owner that lost keeps the winner's segment and deletes its own", func(t *testing.T, e env) {
+	run(t, "after a conflict an owner keeps the other owner's segment and deletes its own", func(t *testing.T, e env) {
 		a, b := e.shard(), e.shard()
 		assertBegin(t, a, "a", Run)
 		assertBegin(t, b, "b", Run)
@@ -241,7 +242,7 @@
 			assertBegin(t, b, fmt.Sprint("b", i), Run)
 		}
 		want := "head"
-		for _, seg := range b.ledger.header.Segments {
+		for _, seg := range b.cache.header.Segments {
 			want = seg.Name + " " + want
 		}
 		assert.Equal(t, len(strings.Fields(names(t, e))), len(strings.Fields(want)), "%s, not %s", names(t, e), want)
@@ -277,10 +278,10 @@
 	})
 }
 
-// Guards against panics in decoders of stored bytes and against heads that
-// change when they are read and written back.
+// Guards against panics in the decoders of stored objects and against heads
+// that change when they are decoded and encoded again.
 func FuzzDecodeHead(f *testing.F) {
-	line, err := encodeRecord(record{ClaimKey: key("k"), State: done, Answer: newAnswer(&bramleytack.Response{Status: 200})})
+	line, err := encodeRecord(record{ClaimKey: key("k"), State: done, Response: newStoredResponse(&bramleytack.Response{Status: 200})})
 	assert.NilError(f, err)
 	head, err := encodeDocument(header{SchemaVersion: 1, Segments: []segment{{Name: "7"}}}, line)
 	assert.NilError(f, err)
@@ -296,7 +297,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(kept), len(records))
 		for _, r := range records {
-			r.Answer.decision()
+			r.Response.decision()
 		}
 	})
 }
