--- a/btconfig/config.go
+++ b/btconfig/config.go
@@ -15,20 +15,25 @@
 const KindQuarantine = "quarantine"
 
 // maxTombstones bounds the memory for deleted records. At the design size of
-// 83,000 changes a day they cover several hours.
+// 83,000 changes a day the tombstones cover several hours even if each change
+// is a deletion.
 const maxTombstones = 16_384
 
 // Kinds returns the store kinds that make up the configuration.
 func Kinds() []string { return append(btrecord.Kinds(), KindQuarantine) }
 
-// Stats counts what a Config met.
+// Stats counts the objects that a Config holds and those that it received.
 type Stats struct {
-	// Objects and Tombstones are the numbers of known objects.
+	// Objects is the number of known objects, Tombstones that of the deleted
+	// ones, which Objects does not include.
 	Objects    int `json:"objects"`
 	Tombstones int `json:"tombstones"`
-	// Undecodable is the number of objects whose newest form cannot be decoded.
+	// Undecodable is the number of objects whose newest version cannot be
+	// decoded.
 	Undecodable int `json:"undecodable"`
-	// Accepted and Outdated count the objects that Apply and ApplyList got.
+	// Accepted and Outdated count the objects passed to Apply and ApplyList by
+	// whether they were newer than the known ones. Outdated includes those of
+	// unknown kinds.
 	Accepted uint64 `json:"accepted"`
 	Outdated uint64 `json:"outdated"`
 	// DecodeFailures counts the accepted objects that could not be decoded.
@@ -37,15 +42,19 @@
 	OutdatedLists uint64 `json:"outdatedLists"`
 }
 
-// Config implements bramleytack.Snapshots. Use New.
+// Config holds the newest known objects and the snapshot of them. It implements
+// bramleytack.Snapshots and is safe for concurrent use. Use New.
 type Config struct {
 	current atomic.Pointer[bramleytack.Snapshot]
 
 	mu      sync.Mutex
 	objects map[bramleytack.Key]bramleytack.Object
-	// floors holds the revision of the newest list of each kind.
-	floors      map[string]bramleytack.Revision
-	hash        uint64
+	// listRevisions holds the revision of the newest list of each kind.
+	listRevisions map[string]bramleytack.Revision
+	// hash is the sum of hashOf over all objects that are not deleted.
+	hash uint64
+	// workspaces and classes hold decoded records. They are kept to update the
+	// priority of a workspace when its class changes.
 	workspaces  map[bramleytack.WorkspaceID]btrecord.Workspace
 	classes     map[string]bramleytack.Priority
 	undecodable map[bramleytack.Key]bool
@@ -58,21 +67,21 @@
 // New returns an empty configuration at revision 0.
 func New() *Config {
 	c := &Config{
-		objects:     map[bramleytack.Key]bramleytack.Object{},
-		floors:      map[string]bramleytack.Revision{},
-		workspaces:  map[bramleytack.WorkspaceID]btrecord.Workspace{},
-		classes:     map[string]bramleytack.Priority{},
-		undecodable: map[bramleytack.Key]bool{},
-		subscribers: map[chan struct{}]bool{},
+		objects:       map[bramleytack.Key]bramleytack.Object{},
+		listRevisions: map[string]bramleytack.Revision{},
+		workspaces:    map[bramleytack.WorkspaceID]btrecord.Workspace{},
+		classes:       map[string]bramleytack.Priority{},
+		undecodable:   map[bramleytack.Key]bool{},
+		subscribers:   map[chan struct{}]bool{},
 	}
 	c.current.Store(emptySnapshot())
 	return c
 }
 
-// Snapshot implements bramleytack.Snapshots.
+// Snapshot returns the current snapshot without locking. It must not be changed.
 func (c *Config) Snapshot() *bramleytack.Snapshot { return c.current.Load() }
 
-// Apply takes in objects and tombstones in any order and says whether any of
+// Apply adds objects and tombstones, in any order, and reports whether any of
 // them was new. It keeps the objects' data, which must not change afterwards.
 func (c *Config) Apply(objects []bramleytack.Object) (changed bool) {
 	c.mu.Lock()
@@ -80,17 +89,18 @@
 	return c.applyLocked(objects)
 }
 
-// ApplyList takes in a complete list of a kind. It returns the revision after
-// which a watch continues the list. An outdated list changes nothing.
+// ApplyList applies a complete list of the objects of a kind at a revision. It
+// returns the revision after which a watch has to start. A list that is older
+// than an accepted one changes nothing.
 func (c *Config) ApplyList(kind string, objects []bramleytack.Object, rev bramleytack.Revision) (after bramleytack.Revision, changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if floor := c.floors[kind]; rev < floor {
+	if newest := c.listRevisions[kind]; rev < newest {
 		c.stats.OutdatedLists++
-		return floor, false
+		return newest, false
 	}
 	changed = c.applyLocked(append(c.missingLocked(kind, objects, rev), objects...))
-	c.floors[kind] = rev
+	c.listRevisions[kind] = rev
 	return rev, changed
 }
 
@@ -110,33 +120,34 @@
 }
 
 func (c *Config) applyLocked(objects []bramleytack.Object) bool {
-	d := newDraft(c)
+	b := newBuilder(c)
 	for _, o := range objects {
 		if !c.acceptLocked(o) {
 			c.stats.Outdated++
 			continue
 		}
 		c.stats.Accepted++
-		d.apply(o)
+		b.apply(o)
 	}
-	if !d.changed {
+	if !b.changed {
 		return false
 	}
-	c.current.Store(d.snapshot())
-	c.evictLocked()
+	c.current.Store(b.snapshot())
+	c.evictTombstonesLocked()
 	for s := range c.subscribers {
 		notify(s)
 	}
 	return true
 }
 
-// acceptLocked records an object if it is newer than what is known.
+// acceptLocked stores an object if it is newer than the known one of its key. It
+// reports whether it did.
 func (c *Config) acceptLocked(o bramleytack.Object) bool {
 	if !slices.Contains(configKinds, o.Kind) || o.Version == 0 {
 		return false
 	}
 	known, ok := c.objects[o.Key]
-	if ok && o.Version <= known.Version || !ok && o.Version <= c.floors[o.Kind] {
+	if ok && o.Version <= known.Version || !ok && o.Version <= c.listRevisions[o.Kind] {
 		return false
 	}
 	if ok && !known.Deleted {
@@ -159,8 +170,9 @@
 
 var configKinds = Kinds()
 
-// evictLocked drops the older half of the tombstones when there are too many.
-func (c *Config) evictLocked() {
+// evictTombstonesLocked drops the older half of the tombstones when there are
+// more than maxTombstones.
+func (c *Config) evictTombstonesLocked() {
 	if c.stats.Tombstones <= maxTombstones {
 		return
 	}
@@ -186,7 +198,8 @@
 	return o, ok && !o.Deleted
 }
 
-// Version returns the newest known version of a record, also of a deleted one.
+// Version returns the newest known version of a record, also if it is deleted,
+// or 0.
 func (c *Config) Version(key bramleytack.Key) bramleytack.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,10 +221,11 @@
 	return list
 }
 
-// All returns all objects and tombstones in the order of their versions.
+// All returns all objects and tombstones in the order of their versions. Their
+// data must not be changed.
 func (c *Config) All() []bramleytack.Object { return c.Since(0) }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (c *Config) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/btconfig/config_test.go
+++ b/btconfig/config_test.go
@@ -22,7 +22,7 @@
 	"bramleytack/internal/btmemstore"
 )
 
-var sameAddr = cmp.Options{
+var snapshotOptions = cmp.Options{
 	cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }),
 	cmpopts.EquateEmpty(),
 }
@@ -54,11 +54,12 @@
 	return bramleytack.Object{Key: r.Key(), Version: v, Deleted: true}
 }
 
-// Guards against an older object, list or event that replaces a newer one.
+// Guards against an object, list or change that replaces a newer one when it
+// arrives late.
 func TestOldChangesAreDropped(t *testing.T) {
 	u := upstream("u", "m")
 	apply := func(c *Config, o bramleytack.Object) bool { return c.Apply([]bramleytack.Object{o}) }
-	t.Run("a late event does not restore a deleted record", func(t *testing.T) {
+	t.Run("a late object does not restore a deleted record", func(t *testing.T) {
 		c := New()
 		assert.Assert(t, apply(c, object(t, u, 5)))
 		assert.Assert(t, apply(c, tombstone(u, 7)))
@@ -74,7 +75,7 @@
 		assert.Equal(t, c.Snapshot().Revision, bramleytack.Revision(9))
 		assert.Equal(t, len(c.Snapshot().ByModel["m"]), 2)
 	})
-	t.Run("a list removes what it lacks, up to its revision", func(t *testing.T) {
+	t.Run("a list removes objects that it lacks, up to its revision", func(t *testing.T) {
 		c := New()
 		c.Apply([]bramleytack.Object{object(t, u, 5), object(t, upstream("v", "m"), 9)})
 		_, changed := c.ApplyList(btrecord.KindUpstream, nil, 7)
@@ -83,9 +84,9 @@
 		after, changed := c.ApplyList(btrecord.KindUpstream, []bramleytack.Object{object(t, u, 5)}, 6)
 		assert.Assert(t, !changed)
 		assert.Equal(t, after, bramleytack.Revision(7))
-		assert.Assert(t, !apply(c, object(t, upstream("w", "m"), 7)), "an object that was deleted before the list")
+		assert.Assert(t, !apply(c, object(t, upstream("w", "m"), 7)), "an object that was deleted before the list was restored")
 	})
-	t.Run("evicted tombstones leave the newer ones", func(t *testing.T) {
+	t.Run("eviction keeps the newer tombstones", func(t *testing.T) {
 		c := New()
 		var objects []bramleytack.Object
 		for i := range maxTombstones + 1 {
@@ -97,14 +98,14 @@
 	})
 }
 
-// Guards against a malformed record that blocks others or takes a working one
-// out of force.
+// Guards against a malformed record that blocks other records or removes the
+// last valid version of its own, and against changes to a published snapshot.
 func TestUndecodable(t *testing.T) {
 	c := New()
 	c.Apply([]bramleytack.Object{object(t, upstream("u", "m"), 1)})
-	bad := object(t, upstream("u", "m"), 2)
-	bad.Data = bytes.Replace(bad.Data, []byte("127.0.0.1"), []byte("localhost"), 1)
-	c.Apply([]bramleytack.Object{bad, object(t, upstream("v", "m"), 3)})
+	malformed := object(t, upstream("u", "m"), 2)
+	malformed.Data = bytes.Replace(malformed.Data, []byte("127.0.0.1"), []byte("localhost"), 1)
+	c.Apply([]bramleytack.Object{malformed, object(t, upstream("v", "m"), 3)})
 	s := c.Snapshot()
 	assert.Equal(t, s.Revision, bramleytack.Revision(3))
 	assert.Equal(t, s.Upstreams["u"].Addr.Port(), uint16(9000))
@@ -114,11 +115,11 @@
 	assert.Equal(t, c.Stats().Undecodable, 0)
 	assert.Equal(t, c.Stats().DecodeFailures, uint64(1))
 	assert.Equal(t, len(c.Snapshot().ByModel["m"]), 1)
-	assert.Equal(t, len(s.ByModel["m"]), 2, "an older snapshot changed")
+	assert.Equal(t, len(s.ByModel["m"]), 2, "a published snapshot changed")
 }
 
-// Guards against snapshots that depend on the order and grouping of changes,
-// and against readers that see a published snapshot change.
+// Guards against snapshots and digests that depend on the order in which changes
+// arrive or on how they are grouped.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var objects []bramleytack.Object
@@ -143,14 +144,15 @@
 			single.Apply([]bramleytack.Object{o})
 		}
 		shuffled.Apply(rapid.Permutation(single.All()).Draw(rt, "peer's order"))
-		assert.DeepEqual(rt, single.Snapshot(), whole.Snapshot(), sameAddr)
-		assert.DeepEqual(rt, shuffled.Snapshot(), whole.Snapshot(), sameAddr)
+		assert.DeepEqual(rt, single.Snapshot(), whole.Snapshot(), snapshotOptions)
+		assert.DeepEqual(rt, shuffled.Snapshot(), whole.Snapshot(), snapshotOptions)
 		assert.Equal(rt, single.Digest(), whole.Digest())
 		assert.Equal(rt, shuffled.Digest(), whole.Digest())
 	})
 }
 
-// Guards against a subscriber that misses the last change.
+// Guards against a subscriber that misses the last change, gets two values for
+// changes that it has not read yet, or gets a value after cancel.
 func TestSubscribe(t *testing.T) {
 	c := New()
 	changes, cancel := c.Subscribe()
@@ -163,8 +165,8 @@
 	assert.Equal(t, len(changes), 0)
 }
 
-// Guards against a watcher that stops for good, hangs on a silent watch, or
-// drops the accepted configuration in an outage.
+// Guards against a watcher that does not retry after an error, waits forever for
+// a silent watch, or drops the configuration while the store is down.
 func TestWatcher(t *testing.T) {
 	run := func(name string, f func(t *testing.T, s *btmemstore.Store, w *Watcher)) {
 		t.Run(name, func(t *testing.T) {
@@ -234,7 +236,7 @@
 		assertUpstreams(t, w, 3*time.Second, 0)
 		assert.Assert(t, !w.Config.Apply([]bramleytack.Object{late}))
 	})
-	run("stale lists never move the snapshot back", func(t *testing.T, s *btmemstore.Store, w *Watcher) {
+	run("stale lists never undo a change", func(t *testing.T, s *btmemstore.Store, w *Watcher) {
 		put(t, s, "a")
 		put(t, s, "b")
 		assertUpstreams(t, w, 0, 2)
@@ -243,7 +245,8 @@
 	})
 }
 
-// Guards against objects from peers or the store that crash the builder.
+// Guards against panics on malformed objects from peers or the store, and
+// against their remains after a deletion.
 func FuzzApply(f *testing.F) {
 	f.Add("upstream", "u", []byte(`{"kind":"upstream","schemaVersion":2,"name":"u","spec":{"kind":"engine","addr":"[::1]:9","failureDomain":"d","models":["m"]}}`))
 	f.Add("quarantine", strings.Repeat("0", 64), []byte(`null`))
--- a/btconfig/doc.go
+++ b/btconfig/doc.go
@@ -1,27 +1,29 @@
-// Package btconfig keeps the configuration that a daemon acts on.
+// Package btconfig keeps a daemon's copy of the configuration and follows its
+// changes in the store.
 //
 // Config holds the newest known object of each record, with tombstones for
 // deleted ones, and builds an immutable bramleytack.Snapshot from them. Readers
 // get the snapshot through an atomic pointer. A change copies only the maps of
-// the snapshot that it touches.
+// the snapshot whose entries it changes.
 //
 // # Order of changes
 //
 // Objects may arrive late, twice and from several sources: lists, watches and
 // peers. An object is accepted only if its version is higher than the one known
-// for the same key. A list is complete at its revision: objects that it lacks
-// become tombstones, and later arrivals of unknown objects up to that revision
-// are dropped. The snapshot's revision therefore only rises.
+// for the same key. A list is complete at its revision: known objects that it
+// lacks become tombstones, and an unknown object that arrives later is dropped
+// if its version is not above that revision. The snapshot's revision therefore
+// never decreases.
 //
-// A record that cannot be decoded does not hold up others. The snapshot keeps
-// its last good form, and Stats counts it.
+// A record that cannot be decoded does not block others. The snapshot keeps its
+// last valid version, and Stats counts it.
 //
 // # Peers
 //
 // Digest summarizes the state. A daemon whose digest differs from a peer's
-// pulls Since(own revision), and All if the digests still differ, because a
-// daemon that missed a change may know later ones. It passes the result to
-// Apply. A daemon without a working store starts from a peer's All.
+// pulls the peer's Since(own revision) and passes it to Apply. If the digests
+// still differ, it missed a change older than its own revision, and pulls All.
+// A daemon that cannot reach the store starts from a peer's All.
 //
 // # Usage
 //
--- a/btconfig/watcher.go
+++ b/btconfig/watcher.go
@@ -13,36 +13,40 @@
 
 const (
 	baseBackoff = 50 * time.Millisecond
-	// maxBackoff keeps the lists of all watchers of a large deployment to a
-	// quarter of the platform's reads when it comes back from an outage.
+	// maxBackoff spreads the lists of all watchers after an outage of the store.
+	// In a large deployment they then take at most a quarter of the platform's
+	// reads.
 	maxBackoff = 2 * time.Second
-	// maxSilentBackoff together with the silence limit of 1.5 s keeps changes
-	// within 3 s while all watches are silent.
+	// maxSilentBackoff is the limit after a silent watch. With the silence limit
+	// of 1.5 s it makes changes arrive within 3 s while all watches are silent.
 	maxSilentBackoff = time.Second
 )
 
-// WatchStats is the state of a Watcher.
+// WatchStats counts the lists and watches of a Watcher.
 type WatchStats struct {
-	// ListedKinds is the number of kinds that were listed at least once.
+	// ListedKinds is the number of kinds that were listed since Run began.
 	// OpenWatches is the number of kinds with an open watch.
 	ListedKinds int `json:"listed"`
 	OpenWatches int `json:"following"`
-	// Reopened counts silent watches, Failures all other ends of a watch or list.
+	// Reopened counts watches that ended with bramleytack.ErrWatchSilent,
+	// Failures all other errors of a list or a watch.
 	Reopened uint64 `json:"reopened"`
 	Failures uint64 `json:"failures"`
 	// LastContact is the time of the last list or change.
 	LastContact time.Time `json:"lastContact"`
 }
 
-// Watcher follows the store and applies what it sees to a Config. While the
-// store is down, the Config stays as it is.
+// Watcher lists and watches the configuration in the store and applies the
+// objects to a Config. While the store is down, the Config stays as it is. Set
+// Store, Config and Timer before use.
 type Watcher struct {
 	Store  bramleytack.Store
 	Config *Config
 	Timer  bramleytack.Timer
-	// Seed feeds the jitter of the backoff.
+	// Seed is the seed of the random part of the backoff.
 	Seed uint64
-	// OnError, if set, is told why a list or a watch of a kind ended.
+	// OnError, if set, is called with the error that ended a list or a watch of
+	// a kind. Calls for different kinds may be concurrent.
 	OnError func(kind string, err error)
 
 	mu     sync.Mutex
@@ -60,13 +64,13 @@
 	w.mu.Unlock()
 	var running sync.WaitGroup
 	for _, kind := range Kinds() {
-		running.Go(func() { w.loop(ctx, kind) })
+		running.Go(func() { w.followWithRetry(ctx, kind) })
 	}
 	running.Wait()
 	return ctx.Err()
 }
 
-// Stats returns the current state.
+// Stats returns the current counts.
 func (w *Watcher) Stats() WatchStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,10 +79,10 @@
 	return s
 }
 
-// Synced says whether all kinds were listed since Run began.
+// Synced reports whether all kinds were listed since Run began.
 func (w *Watcher) Synced() bool { return w.Stats().ListedKinds == len(configKinds) }
 
-func (w *Watcher) loop(ctx context.Context, kind string) {
+func (w *Watcher) followWithRetry(ctx context.Context, kind string) {
 	attempt := 0
 	for ctx.Err() == nil {
 		progress, err := w.follow(ctx, kind)
@@ -88,7 +92,7 @@
 		if progress {
 			attempt = 0
 		}
-		w.failed(kind, err)
+		w.recordFailure(kind, err)
 		limit := maxBackoff
 		if errors.Is(err, bramleytack.ErrWatchSilent) {
 			limit = maxSilentBackoff
@@ -100,7 +104,7 @@
 	}
 }
 
-// follow lists a kind and watches it until something fails. progress says
+// follow lists a kind and watches it until an error occurs. progress reports
 // whether the watch delivered a change.
 func (w *Watcher) follow(ctx context.Context, kind string) (progress bool, err error) {
 	objects, rev, err := w.Store.List(ctx, kind)
@@ -108,21 +112,21 @@
 		return false, err
 	}
 	after, _ := w.Config.ApplyList(kind, objects, rev)
-	w.contact(kind)
+	w.recordContact(kind)
 	changes, err := w.Store.Watch(ctx, kind, after)
 	if err != nil {
 		return false, err
 	}
 	defer changes.Close()
-	w.following(1)
-	defer w.following(-1)
+	w.addOpenWatches(1)
+	defer w.addOpenWatches(-1)
 	for {
 		o, err := changes.Next(ctx)
 		if err != nil {
 			return progress, err
 		}
 		w.Config.Apply([]bramleytack.Object{o})
-		w.contact(kind)
+		w.recordContact(kind)
 		progress = true
 	}
 }
@@ -133,7 +137,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := limit
-	// The shift stays small, so that it cannot overflow.
+	// The shift is bounded, since a large one would overflow.
 	const maxShift = 10
 	if attempt < maxShift {
 		d = min(baseBackoff<<attempt, limit)
@@ -141,7 +145,7 @@
 	return d/2 + time.Duration(w.rng.Int64N(int64(d/2)))
 }
 
-func (w *Watcher) contact(kind string) {
+func (w *Watcher) recordContact(kind string) {
 	now := w.Timer.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,13 +153,13 @@
 	w.stats.LastContact = now
 }
 
-func (w *Watcher) following(n int) {
+func (w *Watcher) addOpenWatches(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.OpenWatches += n
 }
 
-func (w *Watcher) failed(kind string, err error) {
+func (w *Watcher) recordFailure(kind string, err error) {
 	w.mu.Lock()
 	if errors.Is(err, bramleytack.ErrWatchSilent) {
 		w.stats.Reopened++
--- a/btrelay/relay.go
+++ b/btrelay/relay.go
@@ -11,45 +11,55 @@
 
 // Limits of the resumption of a broken stream.
 const (
-	// DefaultResumeWindow is how long a relay tries to resume without progress.
+	// DefaultResumeWindow is the default of Relay.ResumeWindow.
 	DefaultResumeWindow = 5 * time.Second
-	// firstBackoff and maxBackoff bound the wait between two tries.
+	// firstBackoff is the first wait between two tries to resume. It doubles
+	// up to maxBackoff.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = time.Second
-	// cancelTimeout bounds the cancellation of an abandoned generation.
+	// cancelTimeout bounds the call that cancels a generation at the engine.
 	cancelTimeout = 2 * time.Second
 )
 
 // finishCanceled is the finish reason of a generation that was canceled. Its
-// output is cut, so that it must not look like a complete response.
+// output is incomplete, so the relay returns an error instead of ending the
+// response normally.
 const finishCanceled = "canceled"
 
-// Relay passes one generation to a reply. A Relay is used once.
+// Relay passes one generation to a ResponseWriter. Set Engine, Timer and
+// NewOpening. A Relay is used once.
 type Relay struct {
 	Engine bramleytack.Engine
 	Timer  bramleytack.Timer
-	// NewOpening makes the announcement once the engine's stream id is known.
+	// NewOpening returns the opening of the response, once the engine's stream
+	// id is known.
 	NewOpening func(id bramleytack.StreamID) (bramleytack.Opening, error)
-	// FirstIndex is the index of the first token to pass.
+	// FirstIndex is the index of the first token to pass. The caller has the
+	// tokens before it.
 	FirstIndex int
-	// IsGenerationLost says that an error means that the engine lost the generation.
+	// IsGenerationLost, if set, reports whether an error of Engine.Resume means
+	// that the engine no longer has the generation. There is no further try then.
 	IsGenerationLost func(error) bool
-	// ResumeWindow is how long resumption is tried without progress.
+	// ResumeWindow bounds the time in which the relay tries to resume after each
+	// failure. Zero selects DefaultResumeWindow.
 	ResumeWindow time.Duration
 
 	stream bramleytack.Stream
 	id     bramleytack.StreamID
-	next   int
+	// nextIndex is the index of the next token to write.
+	nextIndex int
+	// opened is set once id is known, just before the opening is sent.
 	opened bool
 }
 
-// Run reads the stream to its end. A failure before the first token keeps the
-// stream's error, so that another attempt may follow; a later one is
-// CodeIncomplete. An abandoned generation is canceled at the engine.
+// Run passes the stream to w until it ends, and closes it. A failure before the
+// first token returns the stream's error, so that another attempt may follow. A
+// later one has CodeCanceled, CodeTimeout or CodeIncomplete and the outcome Ran.
+// After a failure the generation is canceled at the engine.
 func (r *Relay) Run(ctx context.Context, stream bramleytack.Stream, w bramleytack.ResponseWriter) error {
 	r.stream = stream
-	r.next = r.FirstIndex
-	err := r.pump(ctx, w)
+	r.nextIndex = r.FirstIndex
+	err := r.relayEvents(ctx, w)
 	_ = r.stream.Close()
 	if err != nil {
 		r.cancel(ctx)
@@ -58,10 +68,12 @@
 	return nil
 }
 
-// Delivered returns the number of tokens that the caller was sent.
-func (r *Relay) Delivered() int { return r.next - r.FirstIndex }
+// Delivered returns the number of tokens that were written to the response.
+func (r *Relay) Delivered() int { return r.nextIndex - r.FirstIndex }
 
-func (r *Relay) pump(ctx context.Context, w bramleytack.ResponseWriter) error {
+// relayEvents passes events until the last one or a failure that no resumption
+// repairs.
+func (r *Relay) relayEvents(ctx context.Context, w bramleytack.ResponseWriter) error {
 	for {
 		ev, err := r.stream.Next(ctx)
 		if err != nil {
@@ -70,7 +82,7 @@
 			}
 			continue
 		}
-		done, err := r.pass(ev, w)
+		done, err := r.writeEvent(ev, w)
 		if errors.Is(err, errGap) {
 			err = r.resume(ctx, err)
 		}
@@ -80,37 +92,39 @@
 	}
 }
 
-// errGap marks an event that does not follow the last one.
+// errGap means that the stream skipped at least one token.
 var errGap = errors.New("btrelay: tokens are missing")
 
-// pass hands one event to the reply. It reports whether it was the last.
-func (r *Relay) pass(ev bramleytack.StreamEvent, w bramleytack.ResponseWriter) (done bool, err error) {
+// writeEvent writes one event to the response, unless the caller has it already.
+// It reports whether the event was the last.
+func (r *Relay) writeEvent(ev bramleytack.StreamEvent, w bramleytack.ResponseWriter) (done bool, err error) {
 	if err := r.open(ev.Stream, w); err != nil {
 		return false, err
 	}
 	if ev.Done {
-		if ev.Completion.Tokens != r.next {
+		if ev.Completion.Tokens != r.nextIndex {
 			return false, errGap
 		}
 		if ev.Completion.FinishReason == finishCanceled {
-			return false, bramleytack.NewError(bramleytack.CodeCanceled, bramleytack.Ran, "generation was canceled after %d tokens", r.next)
+			return false, bramleytack.NewError(bramleytack.CodeCanceled, bramleytack.Ran, "generation was canceled after %d tokens", r.nextIndex)
 		}
 		return true, w.Close(ev.Completion)
 	}
 	switch {
-	case ev.Token.Index < r.next:
+	case ev.Token.Index < r.nextIndex:
 		return false, nil
-	case ev.Token.Index > r.next:
+	case ev.Token.Index > r.nextIndex:
 		return false, errGap
 	}
 	if err := w.Token(ev.Token); err != nil {
 		return false, err
 	}
-	r.next++
+	r.nextIndex++
 	return false, nil
 }
 
-// open announces the generation and checks that it stays the same.
+// open sends the opening before the first event. It returns an error if a later
+// event belongs to another generation.
 func (r *Relay) open(id bramleytack.StreamID, w bramleytack.ResponseWriter) error {
 	if r.opened {
 		if id != r.id {
@@ -127,8 +141,8 @@
 	return w.Open(o)
 }
 
-// resume replaces a broken stream with one that starts at the next token. It
-// returns cause if that is not possible.
+// resume replaces the stream with one that starts at the next token. It returns
+// cause if it cannot, or the engine's error if the generation is lost.
 func (r *Relay) resume(ctx context.Context, cause error) error {
 	_ = r.stream.Close()
 	if !r.opened {
@@ -138,9 +152,9 @@
 	if window <= 0 {
 		window = DefaultResumeWindow
 	}
-	end := r.Timer.Now().Add(window)
-	for wait := firstBackoff; ctx.Err() == nil && r.Timer.Now().Before(end); wait = min(2*wait, maxBackoff) {
-		s, err := r.Engine.Resume(ctx, r.id, r.next)
+	deadline := r.Timer.Now().Add(window)
+	for wait := firstBackoff; ctx.Err() == nil && r.Timer.Now().Before(deadline); wait = min(2*wait, maxBackoff) {
+		s, err := r.Engine.Resume(ctx, r.id, r.nextIndex)
 		if err == nil {
 			r.stream = s
 			return nil
@@ -155,8 +169,8 @@
 	return cause
 }
 
-// cancel frees the engine's memory. It uses a context of its own, since the
-// caller's may have ended.
+// cancel cancels the generation at the engine, so that its memory is freed. The
+// call continues when ctx ends, since the caller may have disconnected.
 func (r *Relay) cancel(ctx context.Context) {
 	if !r.opened {
 		return
@@ -166,6 +180,8 @@
 	_ = r.Engine.Cancel(ctx, r.id)
 }
 
+// classify returns err if no token was written. Otherwise it returns an error
+// with the outcome Ran.
 func (r *Relay) classify(err error) error {
 	if r.Delivered() == 0 {
 		return err
@@ -174,5 +190,5 @@
 	if e.Code == bramleytack.CodeCanceled || e.Code == bramleytack.CodeTimeout {
 		return e.WithOutcome(bramleytack.Ran)
 	}
-	return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "generation ended after token %d", r.next-1).WithCause(err)
+	return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "generation ended after token %d", r.nextIndex-1).WithCause(err)
 }
--- a/btrelay/relay_test.go
+++ b/btrelay/relay_test.go
@@ -14,36 +14,35 @@
 )
 
 var (
-	errCut  = errors.New("cut")
-	errGone = errors.New("gone")
+	errBroken = errors.New("cut")
+	errLost   = errors.New("gone")
 )
 
-// step is one event of a scripted stream.
-type step struct {
+// scriptedEvent is one event of a scripted stream.
+type scriptedEvent struct {
 	index int
 	done  bool
 	err   error
-	// other makes the event belong to another generation.
-	other bool
-	// reason is the finish reason.
-	reason string
+	// otherGeneration gives the event the id of another generation.
+	otherGeneration bool
+	finishReason    string
 }
 
-// engine answers each resumption with the next script.
+// engine returns the next script for each resumption.
 type engine struct {
 	bramleytack.Engine
-	scripts  [][]step
-	from     []int
-	err      error
-	canceled int
+	scripts     [][]scriptedEvent
+	resumedFrom []int
+	err         error
+	canceled    int
 }
 
 func (e *engine) Resume(_ context.Context, _ bramleytack.StreamID, from int) (bramleytack.Stream, error) {
-	e.from = append(e.from, from)
+	e.resumedFrom = append(e.resumedFrom, from)
 	if e.err != nil {
 		return nil, e.err
 	}
-	s := &stream{steps: e.scripts[0]}
+	s := &stream{script: e.scripts[0]}
 	e.scripts = e.scripts[1:]
 	return s, nil
 }
@@ -53,78 +52,79 @@
 	return nil
 }
 
-type stream struct{ steps []step }
+type stream struct{ script []scriptedEvent }
 
 func (s *stream) Next(context.Context) (bramleytack.StreamEvent, error) {
-	if len(s.steps) == 0 {
-		return bramleytack.StreamEvent{}, errCut
+	if len(s.script) == 0 {
+		return bramleytack.StreamEvent{}, errBroken
 	}
-	st := s.steps[0]
-	s.steps = s.steps[1:]
-	ev := bramleytack.StreamEvent{Stream: "g1", Done: st.done, Token: bramleytack.Token{Index: st.index, Text: fmt.Sprint(st.index)}}
-	if st.done {
-		ev.Completion.Tokens, ev.Completion.FinishReason = st.index, st.reason
+	next := s.script[0]
+	s.script = s.script[1:]
+	ev := bramleytack.StreamEvent{Stream: "g1", Done: next.done, Token: bramleytack.Token{Index: next.index, Text: fmt.Sprint(next.index)}}
+	if next.done {
+		ev.Completion.Tokens, ev.Completion.FinishReason = next.index, next.finishReason
 	}
-	if st.other {
+	if next.otherGeneration {
 		ev.Stream = "g2"
 	}
-	return ev, st.err
+	return ev, next.err
 }
 
 func (s *stream) Close() error { return nil }
 
-// caller records what it was sent.
+// caller records the events that it receives.
 type caller struct {
 	bramleytack.ResponseWriter
 	opened, closed int
-	got            []int
+	indices        []int
 }
 
 func (c *caller) Open(bramleytack.Opening) error      { c.opened++; return nil }
 func (c *caller) Close(bramleytack.Completion) error  { c.closed++; return nil }
-func (c *caller) Token(t bramleytack.Token) error     { c.got = append(c.got, t.Index); return nil }
+func (c *caller) Token(t bramleytack.Token) error     { c.indices = append(c.indices, t.Index); return nil }
 func (c *caller) Respond(*bramleytack.Response) error { return nil }
 
-// tokens returns the events of the tokens from first up to before end.
-func tokens(first, end int) []step {
-	var s []step
+// tokens returns the events of the tokens from first to end-1.
+func tokens(first, end int) []scriptedEvent {
+	var s []scriptedEvent
 	for i := first; i < end; i++ {
-		s = append(s, step{index: i})
+		s = append(s, scriptedEvent{index: i})
 	}
 	return s
 }
 
-// Guards against tokens that are lost, repeated, out of order or from another
-// generation after any fault of the engine's stream.
+// Guards against tokens that are lost, repeated, out of order or of another
+// generation after a fault of the engine's stream, such as a connection that
+// breaks after any token.
 func TestRun(t *testing.T) {
 	const n = 5
-	end := step{index: n, done: true}
+	end := scriptedEvent{index: n, done: true}
 	cases := []struct {
 		name    string
-		first   []step
-		resumed [][]step
-		gone    bool
+		first   []scriptedEvent
+		resumed [][]scriptedEvent
+		lost    bool
 		want    int
 		code    bramleytack.Code
 	}{
 		{name: "whole stream", first: append(tokens(0, n), end), want: n},
 		{name: "duplicated token", first: append(append(tokens(0, 3), tokens(2, n)...), end), want: n},
-		{name: "skipped token", first: append(tokens(0, 2), tokens(3, n)...), resumed: [][]step{append(tokens(2, n), end)}, want: n},
-		{name: "end before the last token", first: append(tokens(0, 3), end), resumed: [][]step{append(tokens(3, n), end)}, want: n},
-		{name: "resumption that starts too early", first: tokens(0, 3), resumed: [][]step{append(tokens(0, n), end)}, want: n},
-		{name: "two cuts", first: tokens(0, 2), resumed: [][]step{tokens(2, 3), append(tokens(3, n), end)}, want: n},
-		{name: "another generation", first: append(tokens(0, 2), step{index: 2, other: true}), want: 2, code: bramleytack.CodeIncomplete},
-		{name: "canceled elsewhere", first: append(tokens(0, 2), step{index: 2, done: true, reason: "canceled"}), want: 2, code: bramleytack.CodeCanceled},
-		{name: "engine lost the generation", first: tokens(0, 2), gone: true, want: 2, code: bramleytack.CodeIncomplete},
+		{name: "skipped token", first: append(tokens(0, 2), tokens(3, n)...), resumed: [][]scriptedEvent{append(tokens(2, n), end)}, want: n},
+		{name: "end before the last token", first: append(tokens(0, 3), end), resumed: [][]scriptedEvent{append(tokens(3, n), end)}, want: n},
+		{name: "resumed stream starts too early", first: tokens(0, 3), resumed: [][]scriptedEvent{append(tokens(0, n), end)}, want: n},
+		{name: "two broken streams", first: tokens(0, 2), resumed: [][]scriptedEvent{tokens(2, 3), append(tokens(3, n), end)}, want: n},
+		{name: "another generation", first: append(tokens(0, 2), scriptedEvent{index: 2, otherGeneration: true}), want: 2, code: bramleytack.CodeIncomplete},
+		{name: "canceled by another request", first: append(tokens(0, 2), scriptedEvent{index: 2, done: true, finishReason: "canceled"}), want: 2, code: bramleytack.CodeCanceled},
+		{name: "engine lost the generation", first: tokens(0, 2), lost: true, want: 2, code: bramleytack.CodeIncomplete},
 	}
-	for cut := range n + 1 {
+	for received := range n + 1 {
 		cases = append(cases, cases[0])
 		c := &cases[len(cases)-1]
-		c.name = fmt.Sprintf("cut after token %d", cut)
-		c.first = tokens(0, cut)
-		c.resumed = [][]step{append(tokens(cut, n), end)}
-		if cut == 0 {
-			// Nothing is known of the generation yet, so another attempt follows.
+		c.name = fmt.Sprintf("broken after %d tokens", received)
+		c.first = tokens(0, received)
+		c.resumed = [][]scriptedEvent{append(tokens(received, n), end)}
+		if received == 0 {
+			// The generation's id is not known yet, so it cannot be resumed.
 			c.want, c.code = 0, bramleytack.CodeInternal
 		}
 	}
@@ -132,12 +132,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := &engine{scripts: c.resumed}
-				if c.gone {
-					e.err = errGone
+				if c.lost {
+					e.err = errLost
 				}
 				w := &caller{}
-				err := run(t, e, &stream{steps: c.first}, w)
-				assertAnswer(t, w, c.want, c.code == "")
+				err := run(t, e, &stream{script: c.first}, w)
+				assertResponse(t, w, c.want, c.code == "")
 				if c.code != "" {
 					assert.Equal(t, bramleytack.AsError(err).Code, c.code)
 					return
@@ -148,31 +148,32 @@
 	}
 }
 
-// Guards against a generation that goes on without a caller.
+// Guards against a generation that continues at the engine after its caller has
+// disconnected.
 func TestCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &engine{}
-		err := run(t, e, &stream{steps: tokens(0, 3)}, goneCaller{&caller{}})
-		assert.ErrorIs(t, err, errCut)
+		err := run(t, e, &stream{script: tokens(0, 3)}, disconnectedCaller{&caller{}})
+		assert.ErrorIs(t, err, errBroken)
 		assert.Equal(t, e.canceled, 1)
-		assert.Equal(t, len(e.from), 0, "resumptions")
+		assert.Equal(t, len(e.resumedFrom), 0, "resumptions")
 	})
 }
 
-// Guards against a relay that waits for a dead engine without an end.
+// Guards against a relay that never stops trying to resume at a dead engine.
 func TestResumeWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &engine{err: errCut}
-		err := run(t, e, &stream{steps: tokens(0, 3)}, &caller{})
+		e := &engine{err: errBroken}
+		err := run(t, e, &stream{script: tokens(0, 3)}, &caller{})
 		assert.Equal(t, bramleytack.AsError(err).Code, bramleytack.CodeIncomplete)
 		assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.Ran)
-		assert.Assert(t, len(e.from) > 2, "resumptions: %d", len(e.from))
+		assert.Assert(t, len(e.resumedFrom) > 2, "resumptions: %d", len(e.resumedFrom))
 	})
 }
 
-type goneCaller struct{ *caller }
+type disconnectedCaller struct{ *caller }
 
-func (goneCaller) Token(bramleytack.Token) error { return errCut }
+func (disconnectedCaller) Token(bramleytack.Token) error { return errBroken }
 
 func run(t *testing.T, e *engine, s bramleytack.Stream, w bramleytack.ResponseWriter) error {
 	t.Helper()
@@ -181,17 +182,18 @@
 	r := Relay{
 		Engine:           e,
 		Timer:            timers,
-		IsGenerationLost: func(err error) bool { return errors.Is(err, errGone) },
+		IsGenerationLost: func(err error) bool { return errors.Is(err, errLost) },
 		NewOpening:       func(bramleytack.StreamID) (bramleytack.Opening, error) { return bramleytack.Opening{}, nil },
 	}
 	return r.Run(t.Context(), s, w)
 }
 
-// assertAnswer checks that the tokens 0 to n-1 arrived once and in order.
-func assertAnswer(t *testing.T, w *caller, n int, closed bool) {
+// assertResponse checks that the tokens 0 to n-1 arrived once and in order, and
+// whether the response was closed.
+func assertResponse(t *testing.T, w *caller, n int, closed bool) {
 	t.Helper()
-	assert.Equal(t, len(w.got), n)
-	for i, index := range w.got {
+	assert.Equal(t, len(w.indices), n)
+	for i, index := range w.indices {
 		assert.Equal(t, index, i)
 	}
 	assert.Equal(t, w.closed == 1, closed, "closed")
--- a/bttoken/generation.go
+++ b/bttoken/generation.go
@@ -9,12 +9,13 @@
 	"bramleytack"
 )
 
-// formatVersion is the first byte of the encoded content.
+// formatVersion is the first byte of the encoded GenerationRef.
 const formatVersion = 1
 
-var errContent = errors.New("bttoken: malformed content")
+var errMalformedToken = errors.New("bttoken: malformed token content")
 
-// encode returns the content without the workspace, which is associated data.
+// encode returns the plaintext of a token. It lacks the workspace, which is
+// associated data.
 func encode(g *bramleytack.GenerationRef) []byte {
 	b := []byte{formatVersion}
 	b = binary.AppendUvarint(b, uint64(g.Attempt))
@@ -34,7 +35,7 @@
 func decodeGeneration(b []byte) (bramleytack.GenerationRef, error) {
 	var g bramleytack.GenerationRef
 	if len(b) == 0 || b[0] != formatVersion {
-		return g, errContent
+		return g, errMalformedToken
 	}
 	d := decoder{rest: b[1:]}
 	g.Attempt = int(d.uvarint())
@@ -46,12 +47,13 @@
 	g.Version = d.string()
 	g.Request = bramleytack.RequestID(d.string())
 	if d.failed {
-		return bramleytack.GenerationRef{}, errContent
+		return bramleytack.GenerationRef{}, errMalformedToken
 	}
 	return g, nil
 }
 
-// decoder reads fields until the first failure.
+// decoder reads fields from rest. After a field that is malformed, failed is set
+// and the later fields are meaningless.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/bttoken/key.go
+++ b/bttoken/key.go
@@ -17,18 +17,18 @@
 	maxKeys  = 2
 )
 
-var errKeys = errors.New("bttoken: malformed signing keys")
+var errMalformedKeys = errors.New("bttoken: malformed signing keys")
 
 // key is one signing key.
 type key struct {
 	// ID is unique among the keys that are valid at a time. It wraps around.
 	ID     uint8  `json:"id"`
 	Secret []byte `json:"secret"`
-	// SignsFrom is when tokens begin to be sealed with the key.
+	// SignsFrom is the time from which tokens are sealed with the key.
 	SignsFrom time.Time `json:"signsFrom"`
 }
 
-// keySet is the stored object: the valid keys, oldest first.
+// keySet is the stored object. Keys holds the valid keys, oldest first.
 type keySet struct {
 	SchemaVersion int   `json:"schemaVersion"`
 	Keys          []key `json:"keys"`
@@ -37,24 +37,25 @@
 func decodeKeySet(data []byte) (keySet, error) {
 	var s keySet
 	if err := json.Unmarshal(data, &s); err != nil {
-		return s, errors.Mark(err, errKeys)
+		return s, errors.Mark(err, errMalformedKeys)
 	}
 	if len(s.Keys) == 0 || len(s.Keys) > maxKeys {
-		return s, errors.Wrapf(errKeys, "%d keys", len(s.Keys))
+		return s, errors.Wrapf(errMalformedKeys, "%d keys", len(s.Keys))
 	}
 	for _, k := range s.Keys {
 		if len(k.Secret) != keyBytes {
-			return s, errors.Wrapf(errKeys, "key %d has %d bytes", k.ID, len(k.Secret))
+			return s, errors.Wrapf(errMalformedKeys, "key %d has %d bytes", k.ID, len(k.Secret))
 		}
 	}
 	if len(s.Keys) == maxKeys && s.Keys[0].ID == s.Keys[1].ID {
-		return s, errors.Wrapf(errKeys, "key %d is there twice", s.Keys[0].ID)
+		return s, errors.Wrapf(errMalformedKeys, "duplicate key id %d", s.Keys[0].ID)
 	}
 	return s, nil
 }
 
-// signing returns the key that seals at a time: the newest that signs already.
-func (s keySet) signing(now time.Time) key {
+// signingKey returns the key to seal with: the newest one with SignsFrom up to
+// now, or the oldest.
+func (s keySet) signingKey(now time.Time) key {
 	for i := len(s.Keys) - 1; i > 0; i-- {
 		if !s.Keys[i].SignsFrom.After(now) {
 			return s.Keys[i]
@@ -74,7 +75,8 @@
 
 func (s keySet) newest() key { return s.Keys[len(s.Keys)-1] }
 
-// rotated returns the set with a new key and without keys over the limit.
+// rotated returns the set with a new key and without the oldest keys above
+// maxKeys.
 func (s keySet) rotated(signsFrom time.Time) keySet {
 	k := key{Secret: make([]byte, keyBytes), SignsFrom: signsFrom}
 	rand.Read(k.Secret)
@@ -82,13 +84,13 @@
 		k.ID = s.newest().ID + 1
 	}
 	next := keySet{SchemaVersion: 1, Keys: append(s.Keys[:len(s.Keys):len(s.Keys)], k)}
-	if over := len(next.Keys) - maxKeys; over > 0 {
-		next.Keys = next.Keys[over:]
+	if excess := len(next.Keys) - maxKeys; excess > 0 {
+		next.Keys = next.Keys[excess:]
 	}
 	return next
 }
 
-// aead returns the cipher of one token.
+// aead returns the cipher of the token with the given salt.
 func (k key) aead(salt []byte) cipher.AEAD {
 	mac := hmac.New(sha256.New, k.Secret)
 	mac.Write(salt)
--- a/bttoken/keyring.go
+++ b/bttoken/keyring.go
@@ -14,18 +14,21 @@
 	"bramleytack"
 )
 
-// Defaults and limits.
+// Defaults of a Keyring and limits.
 const (
-	// DefaultLifetime is longer than a generation of 60,000 tokens at 70 ms.
+	// DefaultLifetime exceeds the time for a generation of 60,000 tokens at 70 ms
+	// for each token.
 	DefaultLifetime = 2 * time.Hour
-	// DefaultActivation is longer than a configuration change needs to reach
-	// every daemon.
-	DefaultActivation = 10 * time.Second
-	// DefaultRotation is the period of Run.
-	DefaultRotation = 24 * time.Hour
-	// RefreshInterval bounds the store reads that unknown key ids cause.
+	// DefaultActivationDelay exceeds the time in which a configuration change
+	// reaches every daemon.
+	DefaultActivationDelay = 10 * time.Second
+	// DefaultRotationPeriod is the period of Run.
+	DefaultRotationPeriod = 24 * time.Hour
+	// RefreshInterval is the least time between store reads that unknown key ids
+	// cause.
 	RefreshInterval = time.Second
-	// MaxTokenBytes bounds a token before it is decoded.
+	// MaxTokenBytes is the length of the longest token, as text. A longer one is
+	// not decoded.
 	MaxTokenBytes = 2048
 )
 
@@ -34,14 +37,15 @@
 
 // Errors of a Keyring.
 var (
-	// ErrUnknown answers each token that does not open, whatever the reason,
-	// so that callers learn nothing about tokens of other workspaces.
+	// ErrUnknown is the error of each token that cannot be opened, whatever the
+	// reason, so that it reveals nothing about tokens of other workspaces.
 	ErrUnknown = bramleytack.NewError(bramleytack.CodeNotFound, bramleytack.NotRun, "generation is unknown")
-	// ErrTooEarly refuses a rotation that would make valid tokens unknown.
+	// ErrTooEarly is the error of a rotation that would drop a key whose tokens
+	// may still be valid.
 	ErrTooEarly = errors.New("bttoken: tokens of the oldest key may still be valid")
 	// ErrNoKeys means that Load has not succeeded yet.
 	ErrNoKeys = errors.New("bttoken: no signing keys are loaded")
-	// ErrTooLong means that a generation's names do not fit into a token.
+	// ErrTooLong means that the token would exceed MaxTokenBytes.
 	ErrTooLong = errors.New("bttoken: token would be too long")
 )
 
@@ -54,27 +58,29 @@
 var encoding = base64.RawURLEncoding.Strict()
 
 // Keyring seals and opens tokens with the keys in the store. Set Store and
-// Timer before use; zero durations select the defaults.
+// Timer before use; zero durations select the defaults. Its methods may be
+// called concurrently.
 type Keyring struct {
-	Store      bramleytack.Store
-	Timer      bramleytack.Timer
-	Lifetime   time.Duration
-	Activation time.Duration
-	Rotation   time.Duration
+	Store           bramleytack.Store
+	Timer           bramleytack.Timer
+	Lifetime        time.Duration
+	ActivationDelay time.Duration
+	RotationPeriod  time.Duration
 
-	current atomic.Pointer[loaded]
-	// mu is held during a refresh that an unknown key id caused.
-	mu        sync.Mutex
-	refreshed time.Time
+	current atomic.Pointer[loadedKeys]
+	// mu protects lastRefresh and serializes the refreshes that unknown key ids
+	// cause.
+	mu          sync.Mutex
+	lastRefresh time.Time
 }
 
-// loaded is one version of the stored keys.
-type loaded struct {
+// loadedKeys is one version of the stored keys. It is not changed.
+type loadedKeys struct {
 	keySet
 	version bramleytack.Revision
 }
 
-// Load reads the keys and creates the first one if there is none.
+// Load reads the keys from the store and creates the first one if there is none.
 func (k *Keyring) Load(ctx context.Context) error {
 	err := k.read(ctx)
 	if errors.Is(err, bramleytack.ErrNotFound) {
@@ -89,23 +95,23 @@
 	if err := k.Load(ctx); err != nil {
 		return err
 	}
-	cur, now, activation := k.current.Load(), k.Timer.Now(), or(k.Activation, DefaultActivation)
-	// The oldest key sealed its last token when the newest began to sign, on a
-	// host whose clock is slow by up to the activation time.
-	if len(cur.Keys) == maxKeys && now.Before(cur.newest().SignsFrom.Add(k.lifetime()+activation)) {
+	cur, now, activationDelay := k.current.Load(), k.Timer.Now(), orDefault(k.ActivationDelay, DefaultActivationDelay)
+	// The oldest key sealed its last token at the SignsFrom of the newest, by the
+	// clock of a host that may be slow by up to the activation delay.
+	if len(cur.Keys) == maxKeys && now.Before(cur.newest().SignsFrom.Add(k.lifetime()+activationDelay)) {
 		return ErrTooEarly
 	}
-	return k.write(ctx, cur.rotated(now.Add(activation)), cur.version)
+	return k.write(ctx, cur.rotated(now.Add(activationDelay)), cur.version)
 }
 
-// Apply takes over an object that a watch or a peer delivered. Versions that
-// are not newer are ignored.
+// Apply loads the keys from an object of the store. A version that is not newer
+// than the loaded one is ignored.
 func (k *Keyring) Apply(o bramleytack.Object) error {
 	set, err := decodeKeySet(o.Data)
 	if err != nil {
 		return err
 	}
-	next := &loaded{keySet: set, version: o.Version}
+	next := &loadedKeys{keySet: set, version: o.Version}
 	for {
 		cur := k.current.Load()
 		if cur != nil && cur.version >= next.version {
@@ -117,10 +123,10 @@
 	}
 }
 
-// Run rotates the keys once per Rotation until ctx ends. All daemons may run
-// it: a rotation that another daemon did first only reloads the keys.
+// Run rotates the keys once per RotationPeriod until ctx ends. All daemons may run
+// it: the daemon that rotates second only reloads the keys.
 func (k *Keyring) Run(ctx context.Context) {
-	period := or(k.Rotation, DefaultRotation)
+	period := orDefault(k.RotationPeriod, DefaultRotationPeriod)
 	check := k.Timer.Every(period/24, period/48)
 	defer check.Stop()
 	for {
@@ -133,7 +139,8 @@
 	}
 }
 
-// rotateIfDue leaves a failed rotation to the next check.
+// rotateIfDue rotates the keys if the newest one is a period old. After an error
+// the next check tries again.
 func (k *Keyring) rotateIfDue(ctx context.Context, period time.Duration) {
 	if err := k.Load(ctx); err != nil {
 		return
@@ -144,8 +151,8 @@
 	_ = k.Rotate(ctx)
 }
 
-// Seal returns a token. A zero g.Expires selects Lifetime from now, which is
-// also the longest that a token can be valid.
+// Seal returns a token. It is valid until g.Expires, but for Lifetime at most,
+// and for Lifetime if g.Expires is zero.
 func (k *Keyring) Seal(g bramleytack.GenerationRef) (string, error) {
 	cur := k.current.Load()
 	if cur == nil {
@@ -155,19 +162,20 @@
 	if latest := now.Add(k.lifetime()); g.Expires.IsZero() || g.Expires.After(latest) {
 		g.Expires = latest
 	}
-	signing := cur.signing(now)
+	sealingKey := cur.signingKey(now)
 	b := make([]byte, headerBytes, MaxTokenBytes)
-	b[0] = signing.ID
+	b[0] = sealingKey.ID
 	rand.Read(b[1:])
 	salt, nonce := b[1:1+saltBytes], b[1+saltBytes:headerBytes]
-	b = signing.aead(salt).Seal(b, nonce, encode(&g), associated(signing.ID, g.Workspace))
+	b = sealingKey.aead(salt).Seal(b, nonce, encode(&g), associatedData(sealingKey.ID, g.Workspace))
 	if encoding.EncodedLen(len(b)) > MaxTokenBytes {
 		return "", ErrTooLong
 	}
 	return encoding.EncodeToString(b), nil
 }
 
-// Open returns what a token of the workspace says, or ErrUnknown.
+// Open returns the generation that a token of the workspace names. It returns
+// ErrUnknown for every other token.
 func (k *Keyring) Open(ctx context.Context, token string, workspace bramleytack.WorkspaceID) (bramleytack.GenerationRef, error) {
 	if len(token) > MaxTokenBytes {
 		return bramleytack.GenerationRef{}, ErrUnknown
@@ -176,12 +184,12 @@
 	if err != nil || len(b) < headerBytes {
 		return bramleytack.GenerationRef{}, ErrUnknown
 	}
-	signing, ok := k.find(ctx, b[0])
+	openingKey, ok := k.find(ctx, b[0])
 	if !ok {
 		return bramleytack.GenerationRef{}, ErrUnknown
 	}
 	salt, nonce := b[1:1+saltBytes], b[1+saltBytes:headerBytes]
-	plain, err := signing.aead(salt).Open(nil, nonce, b[headerBytes:], associated(signing.ID, workspace))
+	plain, err := openingKey.aead(salt).Open(nil, nonce, b[headerBytes:], associatedData(openingKey.ID, workspace))
 	if err != nil {
 		return bramleytack.GenerationRef{}, ErrUnknown
 	}
@@ -193,13 +201,14 @@
 	return g, nil
 }
 
-// associated returns the data that a token is bound to.
-func associated(id uint8, workspace bramleytack.WorkspaceID) []byte {
+// associatedData returns the data that a token is authenticated with and does
+// not contain.
+func associatedData(id uint8, workspace bramleytack.WorkspaceID) []byte {
 	return append([]byte{id}, workspace...)
 }
 
-// find returns a key by its id. An unknown id may belong to a rotation that
-// has not reached this daemon yet, so the store is read again.
+// find returns a key by its id. The key of an unknown id may have been added to
+// the store after the last read, so the store is read again.
 func (k *Keyring) find(ctx context.Context, id uint8) (key, bool) {
 	if cur := k.current.Load(); cur != nil {
 		if found, ok := cur.find(id); ok {
@@ -214,14 +223,15 @@
 	return cur.find(id)
 }
 
+// refresh reads the keys unless it did so within the last RefreshInterval.
 func (k *Keyring) refresh(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Timer.Now()
-	if !k.refreshed.IsZero() && now.Sub(k.refreshed) < RefreshInterval {
+	if !k.lastRefresh.IsZero() && now.Sub(k.lastRefresh) < RefreshInterval {
 		return
 	}
-	k.refreshed = now
+	k.lastRefresh = now
 	_ = k.read(ctx)
 }
 
@@ -233,9 +243,8 @@
 	return k.Apply(o)
 }
 
-// write stores a key set and loads what the store holds afterwards. Whether
-// this write or that of another daemon took effect makes no difference: both
-// leave a valid new key.
+// write stores a key set and loads the keys that the store has afterwards. After
+// a conflict these are the keys of another daemon, which are as good.
 func (k *Keyring) write(ctx context.Context, set keySet, expected bramleytack.Revision) error {
 	data, err := json.Marshal(set)
 	if err != nil {
@@ -254,8 +263,8 @@
 	return errors.Wrap(err, "bttoken: writing signing keys")
 }
 
-// readBack loads the keys after a write whose reply was lost. The write failed
-// if the object is still at the expected version.
+// readBack loads the keys after a write with an unknown effect. It returns an
+// error if the object is still at the expected version.
 func (k *Keyring) readBack(ctx context.Context, expected bramleytack.Revision) error {
 	if err := k.read(ctx); err != nil {
 		return err
@@ -266,9 +275,9 @@
 	return nil
 }
 
-func (k *Keyring) lifetime() time.Duration { return or(k.Lifetime, DefaultLifetime) }
+func (k *Keyring) lifetime() time.Duration { return orDefault(k.Lifetime, DefaultLifetime) }
 
-func or(d, fallback time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
--- a/bttoken/keyring_test.go
+++ b/bttoken/keyring_test.go
@@ -60,10 +60,10 @@
 	assert.Assert(t, err == error(ErrUnknown), "got %v", err)
 }
 
-// Guards against forged, foreign, expired and oversized tokens, and against
-// errors that tell them apart.
+// Guards against opening tokens that are forged, expired, too long or of another
+// workspace, and against errors that differ by the reason.
 func TestOpen(t *testing.T) {
-	run(t, "at another entry", func(t *testing.T, e env) {
+	run(t, "at another entry daemon", func(t *testing.T, e env) {
 		assertOpens(t, e.keyring(t), seal(t, e.keyring(t)))
 	})
 	run(t, "refused", func(t *testing.T, e env) {
@@ -84,17 +84,17 @@
 		time.Sleep(DefaultLifetime)
 		assertUnknown(t, k, token, "a")
 	})
-	run(t, "the content is opaque", func(t *testing.T, e env) {
+	run(t, "the content is encrypted", func(t *testing.T, e env) {
 		b, err := encoding.DecodeString(seal(t, e.keyring(t)))
 		assert.NilError(t, err)
 		assert.Assert(t, !strings.Contains(string(b), "engine-1"))
 	})
 }
 
-// Guards against rotations that make valid tokens unknown and against daemons
-// that end up with different keys.
+// Guards against rotations after which valid tokens cannot be opened, and against
+// daemons that keep different keys.
 func TestRotate(t *testing.T) {
-	run(t, "cuts no stream", func(t *testing.T, e env) {
+	run(t, "valid tokens can be opened after a rotation", func(t *testing.T, e env) {
 		a, b := e.keyring(t), e.keyring(t)
 		for range 6 {
 			token := seal(t, a)
@@ -102,7 +102,7 @@
 				assert.ErrorIs(t, err, ErrTooEarly)
 			}
 			assertOpens(t, b, token)
-			time.Sleep(DefaultActivation)
+			time.Sleep(DefaultActivationDelay)
 			late := seal(t, b)
 			time.Sleep(DefaultLifetime/2 + time.Second)
 			assertOpens(t, b, token)
@@ -110,20 +110,20 @@
 		}
 		assert.Assert(t, a.current.Load().newest().ID >= 2)
 	})
-	run(t, "the dropped key opens nothing", func(t *testing.T, e env) {
+	run(t, "tokens of a dropped key are unknown", func(t *testing.T, e env) {
 		k := e.keyring(t)
 		token := seal(t, k)
 		assert.NilError(t, k.Rotate(t.Context()))
 		assert.ErrorIs(t, k.Rotate(t.Context()), ErrTooEarly)
-		time.Sleep(DefaultLifetime + 2*DefaultActivation)
+		time.Sleep(DefaultLifetime + 2*DefaultActivationDelay)
 		assert.NilError(t, k.Rotate(t.Context()))
 		assertUnknown(t, k, token, "a")
 		assert.Equal(t, len(k.current.Load().Keys), maxKeys)
 	})
-	run(t, "unknown keys are looked up at most once per interval", func(t *testing.T, e env) {
+	run(t, "unknown key ids cause at most one read per interval", func(t *testing.T, e env) {
 		a, b := e.keyring(t), e.keyring(t)
 		assert.NilError(t, a.Rotate(t.Context()))
-		time.Sleep(DefaultActivation)
+		time.Sleep(DefaultActivationDelay)
 		token := seal(t, a)
 		reads := e.store.Counts().Reads
 		assertOpens(t, b, token)
@@ -143,7 +143,7 @@
 			err := a.Rotate(t.Context())
 			assert.Equal(t, err == nil, f.LoseReplies > 0, "%v", err)
 			e.store.SetFault(btmemstore.Fault{})
-			time.Sleep(DefaultActivation)
+			time.Sleep(DefaultActivationDelay)
 			assertOpens(t, b, seal(t, a))
 			assertOpens(t, a, seal(t, b))
 		})
@@ -158,7 +158,8 @@
 	})
 }
 
-// Guards against panics and acceptance of bytes that no daemon sealed.
+// Guards against panics on malformed tokens and against opening tokens that no
+// daemon sealed.
 func FuzzOpen(f *testing.F) {
 	timer := bttimer.New(1)
 	f.Cleanup(timer.Close)
@@ -175,7 +176,7 @@
 	})
 }
 
-// Guards against panics in the decoders of content and of stored keys.
+// Guards against panics in the decoders of generations and of stored keys.
 func FuzzDecode(f *testing.F) {
 	f.Add(encode(&sample))
 	f.Add([]byte(`{"keys":[{"id":1,"secret":"AAAA"}]}`))
@@ -186,7 +187,7 @@
 			assert.Equal(t, again, g)
 		}
 		if s, err := decodeKeySet(b); err == nil {
-			s.signing(time.Now()).aead(nil)
+			s.signingKey(time.Now()).aead(nil)
 		}
 	})
 }
