--- a/btclaim/operation.go
+++ b/btclaim/operation.go
@@ -22,7 +22,7 @@
 	result   chan result
 }
 
-// The values of operation.owner.
+// The values of operation.delivery.
 const (
 	waiting uint32 = iota
 	delivered
--- a/btclaim/shard.go
+++ b/btclaim/shard.go
@@ -35,7 +35,7 @@
 	Interval time.Duration
 	// Retention is the least time that a claim is kept.
 	Retention time.Duration
-	// SegmentBytes is the size of the head's records from which they move to a
+	// SegmentBytes is the size of the head's records above which they move to a
 	// new segment. Each commit writes the whole head, so it must be well under
 	// bramleytack.MaxObjectBytes.
 	SegmentBytes int
--- a/btclaim/shard_test.go
+++ b/btclaim/shard_test.go
@@ -207,7 +207,7 @@
 	})
 }
 
-// Guards against claims that are lost, granted twice or never deleted when
+// Guards against claims that are lost, made twice or never deleted when
 // records move from the head to segments.
 func TestShardSegments(t *testing.T) {
 	names := func(t *testing.T, e env) string {
--- a/btconfig/doc.go
+++ b/btconfig/doc.go
@@ -1,5 +1,5 @@
-// Package btconfig keeps a daemon's copy of the configuration and follows its
-// changes in the store.
+// Package btconfig holds the configuration of a daemon and applies changes to it
+// that come from the store or from peers.
 //
 // Config holds the newest known object of each record, with tombstones for
 // deleted ones, and builds an immutable bramleytack.Snapshot from them. Readers
--- a/btconfig/watcher.go
+++ b/btconfig/watcher.go
@@ -83,24 +83,24 @@
 func (w *Watcher) Synced() bool { return w.Stats().ListedKinds == len(configKinds) }
 
 func (w *Watcher) followWithRetry(ctx context.Context, kind string) {
-	attempt := 0
+	retries := 0
 	for ctx.Err() == nil {
 		progress, err := w.follow(ctx, kind)
 		if ctx.Err() != nil {
 			return
 		}
 		if progress {
-			attempt = 0
+			retries = 0
 		}
 		w.recordFailure(kind, err)
 		limit := maxBackoff
 		if errors.Is(err, bramleytack.ErrWatchSilent) {
 			limit = maxSilentBackoff
 		}
-		if w.Timer.Sleep(ctx, w.backoff(attempt, limit)) != nil {
+		if w.Timer.Sleep(ctx, w.backoff(retries, limit)) != nil {
 			return
 		}
-		attempt++
+		retries++
 	}
 }
 
@@ -132,15 +132,15 @@
 }
 
 // backoff returns a pause between half and all of a delay that doubles with
-// each attempt.
-func (w *Watcher) backoff(attempt int, limit time.Duration) time.Duration {
+// each retry.
+func (w *Watcher) backoff(retries int, limit time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := limit
 	// The shift is bounded, since a large one would overflow.
 	const maxShift = 10
-	if attempt < maxShift {
-		d = min(baseBackoff<<attempt, limit)
+	if retries < maxShift {
+		d = min(baseBackoff<<retries, limit)
 	}
 	return d/2 + time.Duration(w.rng.Int64N(int64(d/2)))
 }
--- a/bttoken/keyring.go
+++ b/bttoken/keyring.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Run rotates the keys once per RotationPeriod until ctx ends. All daemons may run
-// it: the daemon that rotates second only reloads the keys.
+// Run rotates the keys once per RotationPeriod until ctx ends. All daemons may
+// run it: the daemon that rotates second only reloads the keys.
 func (k *Keyring) Run(ctx context.Context) {
 	period := orDefault(k.RotationPeriod, DefaultRotationPeriod)
 	check := k.Timer.Every(period/24, period/48)
--- a/bttoken/keyring_test.go
+++ b/bttoken/keyring_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// Guards against rotations after which valid tokens cannot be opened, and against
-// daemons that keep different keys.
+// Guards against rotations after which valid tokens cannot be opened, and
+// against daemons that keep different keys.
 func TestRotate(t *testing.T) {
 	run(t, "valid tokens can be opened after a rotation", func(t *testing.T, e env) {
 		a, b := e.keyring(t), e.keyring(t)
