--- a/btlease/lease.go
+++ b/btlease/lease.go
@@ -15,18 +15,21 @@
 )
 
 const (
-	// callTimeout bounds a store call, so that a holder can try a renewal
-	// again before the lease ends.
+	// callTimeout bounds a store call. It leaves time to repeat a failed
+	// renewal before the lease ends.
 	callTimeout = 2 * time.Second
-	// maxSpread spreads the candidates' attempts over a time.
-	maxSpread = time.Second
+	// maxAcquireDelay bounds the delay by which candidates stagger their
+	// acquisitions.
+	maxAcquireDelay = time.Second
 	// unknownHolder stands for the holder of a lease object that was deleted or
-	// cannot be decoded. Candidates wait for its lease like for any other.
+	// cannot be decoded. Candidates wait for the end of its lease like for any
+	// other.
 	unknownHolder = "unknown"
 )
 
-// Lease is a host's part in the contest for a cell's lease. The exported
-// fields are set before Run and not changed after it.
+// Lease acquires and renews a cell's lease on behalf of one host. The exported
+// fields must be set before the first call and not changed afterwards. Run is
+// called once; the other methods are safe for concurrent use.
 type Lease struct {
 	Store bramleytack.Store
 	Timer bramleytack.Timer
@@ -39,19 +42,20 @@
 	mu      sync.Mutex
 	machine machine
 	wake    chan struct{}
-	// changed is closed and replaced after each step.
+	// changed is closed and replaced at the start of each step.
 	changed chan struct{}
 }
 
-// Run takes part in the contest until ctx ends. It does not release the lease.
+// Run acquires and renews the lease until ctx ends. It does not release it.
 func (l *Lease) Run(ctx context.Context) {
 	l.init()
 	for ctx.Err() == nil {
-		l.loop(ctx)
+		l.runStep(ctx)
 	}
 }
 
-// Held returns the fencing token and the remaining time of the lease.
+// Held returns the fencing token and the remaining time of the lease. It
+// returns false if this host does not hold the lease.
 func (l *Lease) Held() (bramleytack.Fence, time.Duration, bool) {
 	l.init()
 	l.mu.Lock()
@@ -59,19 +63,20 @@
 	return l.machine.held(l.Timer.Now())
 }
 
-// Version returns the version of the lease object that the host knows.
+// Version returns the newest version of the lease object that the host knows,
+// or 0.
 func (l *Lease) Version() bramleytack.Revision {
 	l.init()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.machine.own {
+	if l.machine.acquired {
 		return l.machine.version
 	}
-	return l.machine.seen
+	return l.machine.seenVersion
 }
 
-// Holder returns the last record that the host read, and whether it names a
-// holder. The lease of that holder may have ended since.
+// Holder returns the last record that the host read or wrote, and whether it
+// names a holder. The lease of that holder may have ended since.
 func (l *Lease) Holder() (Record, bool) {
 	l.init()
 	l.mu.Lock()
@@ -79,12 +84,12 @@
 	if _, _, ok := l.machine.held(l.Timer.Now()); ok {
 		return Record{Holder: l.Host, PeerAddr: l.PeerAddr, Term: l.machine.term}, true
 	}
-	r := l.machine.seenRec
+	r := l.machine.seenRecord
 	return r, r.Holder != ""
 }
 
-// Observe reports a version of the lease object that the holder named. It
-// saves the candidates their reads while the holder is well.
+// Observe records a version of the lease object that the holder named in a
+// message. While a candidate gets new versions this way it reads nothing.
 func (l *Lease) Observe(version bramleytack.Revision) {
 	l.init()
 	l.mu.Lock()
@@ -93,20 +98,21 @@
 	l.notify()
 }
 
-// RequestRead asks for a read of the lease object, because the holder that the host
-// knows does not answer or is no longer the holder. Calls within a second of
+// RequestRead asks for a read of the lease object. It is called when the known
+// holder does not reply or is no longer the holder. Calls within a second of
 // the last read have no effect.
 func (l *Lease) RequestRead() {
 	l.init()
 	l.mu.Lock()
-	l.machine.poke(l.Timer.Now())
+	l.machine.requestRead(l.Timer.Now())
 	l.mu.Unlock()
 	l.notify()
 }
 
-// Resign gives the lease up and stays out of the contest for a time. Held
-// returns false from the start of the call. Resign returns when the release is
-// written, or with the context's error.
+// Resign releases the lease and does not acquire it again during the backoff.
+// Held returns false from the start of the call. Resign returns when the
+// release is written, or with the context's error; the release is then still
+// tried.
 func (l *Lease) Resign(ctx context.Context, backoff time.Duration) error {
 	l.init()
 	l.mu.Lock()
@@ -128,7 +134,7 @@
 	}
 }
 
-// Release gives the lease up for good.
+// Release releases the lease and never acquires it again.
 func (l *Lease) Release(ctx context.Context) error {
 	const never = 100 * 365 * 24 * time.Hour
 	return l.Resign(ctx, never)
@@ -139,7 +145,7 @@
 		l.wake = make(chan struct{}, 1)
 		l.changed = make(chan struct{})
 		l.machine.newChangeID = rand.Text
-		l.machine.spread = time.Duration(xxhash.Sum64String(string(l.Cell)+"/"+string(l.Host)) % uint64(maxSpread))
+		l.machine.acquireDelay = time.Duration(xxhash.Sum64String(string(l.Cell)+"/"+string(l.Host)) % uint64(maxAcquireDelay))
 	})
 }
 
@@ -150,12 +156,12 @@
 	}
 }
 
-// loop does the next step and waits for its end.
-func (l *Lease) loop(ctx context.Context) {
-	s, w := l.next()
+// runStep runs the next step to its end.
+func (l *Lease) runStep(ctx context.Context) {
+	s, w := l.nextStep()
 	switch s.kind {
 	case stepWait:
-		l.wait(ctx, s.at)
+		l.waitUntil(ctx, s.at)
 		return
 	case stepRead:
 		l.read(ctx)
@@ -164,19 +170,19 @@
 	}
 }
 
-func (l *Lease) next() (step, write) {
+func (l *Lease) nextStep() (step, pendingWrite) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.machine.next(l.Timer.Now())
+	s := l.machine.nextStep(l.Timer.Now())
 	close(l.changed)
 	l.changed = make(chan struct{})
 	if s.kind != stepWrite {
-		return s, write{}
+		return s, pendingWrite{}
 	}
 	return s, *l.machine.pending
 }
 
-func (l *Lease) wait(ctx context.Context, until time.Time) {
+func (l *Lease) waitUntil(ctx context.Context, until time.Time) {
 	alarm := l.Timer.After(until.Sub(l.Timer.Now()))
 	defer alarm.Stop()
 	select {
@@ -199,10 +205,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.machine.read(l.Timer.Now(), o.Version, o.ChangeID, rec, err)
+	l.machine.handleRead(l.Timer.Now(), o.Version, o.ChangeID, rec, err)
 }
 
-func (l *Lease) write(ctx context.Context, w write) {
+func (l *Lease) write(ctx context.Context, w pendingWrite) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	data, err := json.Marshal(l.record(w))
@@ -213,17 +219,17 @@
 	version, err := l.Store.Put(ctx, o, w.expected)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.machine.wrote(l.Timer.Now(), version, err)
+	l.machine.handleWrite(l.Timer.Now(), version, err)
 }
 
-func (l *Lease) record(w write) Record {
+func (l *Lease) record(w pendingWrite) Record {
 	if w.kind == writeRelease {
 		return Record{Term: w.term}
 	}
 	if w.kind == writeRestore {
 		return Record{Holder: unknownHolder, Term: w.term}
 	}
-	return Record{Holder: l.Host, PeerAddr: l.PeerAddr, HeldUntil: w.first.Add(Duration).Round(0).UTC(), Term: w.term}
+	return Record{Holder: l.Host, PeerAddr: l.PeerAddr, HeldUntil: w.firstSent.Add(Duration).Round(0).UTC(), Term: w.term}
 }
 
 func (l *Lease) key() bramleytack.Key {
--- a/btlease/lease_test.go
+++ b/btlease/lease_test.go
@@ -17,7 +17,8 @@
 	"bramleytack/internal/btmemstore"
 )
 
-// gate blocks the store calls of a paused host before and after their effect.
+// gate is a store that blocks the calls of a paused host, both before and after
+// they take effect.
 type gate struct {
 	bramleytack.Store
 	mu     sync.Mutex
@@ -41,7 +42,7 @@
 	}
 }
 
-func (g *gate) wait() {
+func (g *gate) waitWhilePaused() {
 	g.mu.Lock()
 	c := g.paused
 	g.mu.Unlock()
@@ -51,18 +52,18 @@
 }
 
 func (g *gate) Get(ctx context.Context, k bramleytack.Key) (bramleytack.Object, error) {
-	g.wait()
-	defer g.wait()
+	g.waitWhilePaused()
+	defer g.waitWhilePaused()
 	return g.Store.Get(ctx, k)
 }
 
 func (g *gate) Put(ctx context.Context, o bramleytack.Object, v bramleytack.Revision) (bramleytack.Revision, error) {
-	g.wait()
-	defer g.wait()
+	g.waitWhilePaused()
+	defer g.waitWhilePaused()
 	return g.Store.Put(context.WithoutCancel(ctx), o, v)
 }
 
-// driftTimer is a timer whose clock runs at another rate.
+// driftTimer is a timer whose clock runs at rate times the real one.
 type driftTimer struct {
 	bramleytack.Timer
 	base time.Time
@@ -74,19 +75,20 @@
 }
 
 func (d *driftTimer) After(wait time.Duration) bramleytack.Alarm {
-	// Rounding up lets the clock pass the due time in each firing.
+	// The added microsecond keeps rounding from firing the alarm too early.
 	return d.Timer.After(time.Duration(float64(wait)/d.rate) + time.Microsecond)
 }
 
 type sim struct {
-	t      *testing.T
-	store  *btmemstore.Store
-	leases []*Lease
-	gates  []*gate
-	last   bramleytack.Fence
+	t         *testing.T
+	store     *btmemstore.Store
+	leases    []*Lease
+	gates     []*gate
+	lastFence bramleytack.Fence
 }
 
-// newSim starts hosts whose clocks differ by the drift that the protocol allows.
+// newSim starts hosts whose clocks differ in rate by up to 0.98%, just less than
+// the protocol allows.
 func newSim(t *testing.T, hosts int) *sim {
 	s := &sim{t: t, store: btmemstore.New()}
 	timers := bttimer.New(1)
@@ -112,8 +114,8 @@
 	return s
 }
 
-// holder returns the index of the only holder, or -1. It fails the test when
-// two hosts hold the lease or when a fencing token goes back.
+// holder returns the index of the holder, or -1. It fails the test if two hosts
+// hold the lease or if the fencing token is lower than an earlier one.
 func (s *sim) holder() int {
 	s.t.Helper()
 	found := -1
@@ -125,15 +127,16 @@
 		if found >= 0 {
 			s.t.Fatalf("h%d and h%d hold the lease at the same instant", found, i)
 		}
-		if fence < s.last {
-			s.t.Fatalf("fencing token %d after %d", fence, s.last)
+		if fence < s.lastFence {
+			s.t.Fatalf("fencing token %d after %d", fence, s.lastFence)
 		}
-		found, s.last = i, fence
+		found, s.lastFence = i, fence
 	}
 	return found
 }
 
-// watch samples the holders for a time and returns for how long there was one.
+// watch checks the holders every 20 ms for a duration and returns for how long
+// there was one.
 func (s *sim) watch(d time.Duration) time.Duration {
 	s.t.Helper()
 	const sample = 20 * time.Millisecond
@@ -146,7 +149,8 @@
 	return held
 }
 
-func (s *sim) await(limit time.Duration) int {
+// awaitHolder returns the index of the holder once there is one.
+func (s *sim) awaitHolder(limit time.Duration) int {
 	s.t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if i := s.holder(); i >= 0 {
@@ -157,8 +161,8 @@
 	return -1
 }
 
-// Guards against two holders at one instant and against a cell that stays
-// without a holder after its faults are over.
+// Guards against two holders at the same time, and against a cell that stays
+// without a holder after the faults end.
 func TestNoOverlap(t *testing.T) {
 	const seeds = 12
 	table := []struct {
@@ -167,23 +171,23 @@
 	}{
 		{"holder paused", func(s *sim, r *rand.Rand) {
 			if i := s.holder(); i >= 0 {
-				s.pause(i, wait(r, 25*time.Second))
+				s.pause(i, randomDuration(r, 25*time.Second))
 			}
 		}},
-		{"any host paused", func(s *sim, r *rand.Rand) { s.pause(r.IntN(len(s.leases)), wait(r, 25*time.Second)) }},
-		{"store down", func(s *sim, r *rand.Rand) { s.fault(btmemstore.Fault{Down: true}, wait(r, 15*time.Second)) }},
+		{"any host paused", func(s *sim, r *rand.Rand) { s.pause(r.IntN(len(s.leases)), randomDuration(r, 25*time.Second)) }},
+		{"store down", func(s *sim, r *rand.Rand) { s.fault(btmemstore.Fault{Down: true}, randomDuration(r, 15*time.Second)) }},
 		{"store slow", func(s *sim, r *rand.Rand) {
-			s.fault(btmemstore.Fault{Latency: wait(r, 4*time.Second)}, wait(r, 20*time.Second))
+			s.fault(btmemstore.Fault{Latency: randomDuration(r, 4*time.Second)}, randomDuration(r, 20*time.Second))
 		}},
 		{"reply lost", func(s *sim, r *rand.Rand) {
-			s.fault(btmemstore.Fault{LoseReplies: 1 + r.IntN(3)}, wait(r, 10*time.Second))
+			s.fault(btmemstore.Fault{LoseReplies: 1 + r.IntN(3)}, randomDuration(r, 10*time.Second))
 		}},
 		{"write dropped", func(s *sim, r *rand.Rand) {
-			s.fault(btmemstore.Fault{DropWrites: 1 + r.IntN(3)}, wait(r, 10*time.Second))
+			s.fault(btmemstore.Fault{DropWrites: 1 + r.IntN(3)}, randomDuration(r, 10*time.Second))
 		}},
 		{"stale reads", func(s *sim, r *rand.Rand) {
 			old := max(1, uint64(s.store.Revision())-uint64(r.IntN(3)))
-			s.fault(btmemstore.Fault{StaleReads: old, LoseReplies: r.IntN(2)}, wait(r, 15*time.Second))
+			s.fault(btmemstore.Fault{StaleReads: old, LoseReplies: r.IntN(2)}, randomDuration(r, 15*time.Second))
 		}},
 		{"object deleted", func(s *sim, _ *rand.Rand) {
 			key := s.leases[0].key()
@@ -202,20 +206,20 @@
 					s.watch(2 * time.Second)
 					for range 4 {
 						row.fault(s, r)
-						s.watch(wait(r, 15*time.Second))
+						s.watch(randomDuration(r, 15*time.Second))
 					}
-					s.await(25 * time.Second)
+					s.awaitHolder(25 * time.Second)
 				})
 			}
 		})
 	}
 }
 
-func wait(r *rand.Rand, limit time.Duration) time.Duration {
+func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(limit)))
 }
 
-// pause stops a host's progress for a time while the others go on.
+// pause blocks a host for a duration while the others continue.
 func (s *sim) pause(i int, d time.Duration) {
 	s.gates[i].pause()
 	s.watch(d)
@@ -228,57 +232,57 @@
 	s.store.SetFault(btmemstore.Fault{})
 }
 
-// Guards against takeovers that come too early or too late and against
-// releases that leave the cell without a holder.
+// Guards against acquisitions before the holder's lease has expired or long
+// after it, and against releases that leave the cell without a holder.
 func TestTakeover(t *testing.T) {
 	run := func(name string, f func(t *testing.T, s *sim)) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { f(t, newSim(t, 3)) })
 		})
 	}
-	run("a paused holder is replaced and sees it at the first check", func(t *testing.T, s *sim) {
-		first := s.await(time.Second)
+	run("a paused holder finds its lease expired and is replaced", func(t *testing.T, s *sim) {
+		first := s.awaitHolder(time.Second)
 		time.Sleep(10 * time.Second)
 		s.gates[first].pause()
 		start := time.Now()
 		time.Sleep(Duration)
 		_, _, ok := s.leases[first].Held()
 		assert.Assert(t, !ok)
-		second := s.await(6 * time.Second)
+		second := s.awaitHolder(6 * time.Second)
 		assert.Assert(t, second != first)
-		assert.Assert(t, time.Since(start) <= RenewPeriod+WaitDuration+maxSpread+time.Second)
+		assert.Assert(t, time.Since(start) <= RenewPeriod+WaitDuration+maxAcquireDelay+time.Second)
 		s.gates[first].resume()
 		s.watch(30 * time.Second)
 		assert.Equal(t, s.holder(), second)
 	})
 	run("a healthy holder keeps the lease and its fencing token", func(t *testing.T, s *sim) {
-		first := s.await(time.Second)
+		first := s.awaitHolder(time.Second)
 		fence, _, _ := s.leases[first].Held()
 		held := s.watch(2 * time.Minute)
 		assert.Equal(t, held, 2*time.Minute)
 		after, _, _ := s.leases[first].Held()
 		assert.Equal(t, after, fence)
 	})
-	run("a lost reply does not cost the lease", func(t *testing.T, s *sim) {
-		first := s.await(time.Second)
+	run("a lost store reply does not end the lease", func(t *testing.T, s *sim) {
+		first := s.awaitHolder(time.Second)
 		s.store.SetFault(btmemstore.Fault{LoseReplies: 3})
 		assert.Equal(t, s.watch(15*time.Second), 15*time.Second)
 		assert.Equal(t, s.holder(), first)
 	})
 	run("a released lease is acquired after RequestRead", func(t *testing.T, s *sim) {
-		first := s.await(time.Second)
+		first := s.awaitHolder(time.Second)
 		time.Sleep(2 * time.Second)
 		assert.NilError(t, s.leases[first].Release(t.Context()))
 		for _, l := range s.leases {
 			l.RequestRead()
 		}
-		second := s.await(time.Second)
+		second := s.awaitHolder(time.Second)
 		assert.Assert(t, second != first)
 		s.watch(30 * time.Second)
 		assert.Equal(t, s.holder(), second)
 	})
-	run("observed versions save the candidates their reads", func(t *testing.T, s *sim) {
-		first := s.await(time.Second)
+	run("candidates that observe new versions do not read", func(t *testing.T, s *sim) {
+		first := s.awaitHolder(time.Second)
 		time.Sleep(20 * time.Second)
 		before := s.store.Counts().Reads
 		for range 60 {
@@ -291,15 +295,15 @@
 		}
 		assert.Equal(t, s.store.Counts().Reads, before)
 	})
-	run("the fastest clock waits out the slowest holder", func(t *testing.T, s *sim) {
+	run("a candidate with the fastest clock waits for a holder with the slowest", func(t *testing.T, s *sim) {
 		// The clock of h0 is the slowest, that of h2 the fastest.
-		first := s.await(time.Second)
-		for ; first != 0; first = s.await(20 * time.Second) {
+		first := s.awaitHolder(time.Second)
+		for ; first != 0; first = s.awaitHolder(20 * time.Second) {
 			assert.NilError(t, s.leases[first].Resign(t.Context(), 10*time.Second))
 		}
 		for _, l := range s.leases {
 			l.mu.Lock()
-			l.machine.spread = 0
+			l.machine.acquireDelay = 0
 			l.mu.Unlock()
 		}
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); s.watch(20 * time.Millisecond) {
@@ -312,10 +316,10 @@
 				l.Observe(o.Version)
 			}
 		}
-		assert.Assert(t, s.await(5*time.Second) != first)
+		assert.Assert(t, s.awaitHolder(5*time.Second) != first)
 	})
-	run("a release while the store is down ends with its context", func(t *testing.T, s *sim) {
-		first := s.await(time.Second)
+	run("a release while the store is down returns when its context ends", func(t *testing.T, s *sim) {
+		first := s.awaitHolder(time.Second)
 		s.store.SetFault(btmemstore.Fault{Down: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -325,19 +329,19 @@
 	})
 }
 
-// Guards against leases that count from a late reply or from a repeated
-// sending.
+// Guards against a lease that counts from a late store reply or from a repeated
+// attempt instead of the first attempt.
 func TestLeaseStart(t *testing.T) {
 	start := time.Now()
 	ids := 0
 	m := &machine{newChangeID: func() string { ids++; return fmt.Sprint(ids) }}
-	m.read(start, 0, "", Record{}, nil)
-	assert.Equal(t, m.next(start).kind, stepWrite)
-	m.wrote(start.Add(time.Second), 0, bramleytack.ErrStoreUnknown)
-	assert.Equal(t, m.next(start.Add(time.Second)).kind, stepRead)
-	m.read(start.Add(time.Second), 0, "", Record{}, nil)
-	assert.Equal(t, m.next(start.Add(2*time.Second)).kind, stepWrite)
-	m.wrote(start.Add(4*time.Second), 1, nil)
+	m.handleRead(start, 0, "", Record{}, nil)
+	assert.Equal(t, m.nextStep(start).kind, stepWrite)
+	m.handleWrite(start.Add(time.Second), 0, bramleytack.ErrStoreUnknown)
+	assert.Equal(t, m.nextStep(start.Add(time.Second)).kind, stepRead)
+	m.handleRead(start.Add(time.Second), 0, "", Record{}, nil)
+	assert.Equal(t, m.nextStep(start.Add(2*time.Second)).kind, stepWrite)
+	m.handleWrite(start.Add(4*time.Second), 1, nil)
 	fence, left, ok := m.held(start.Add(5 * time.Second))
 	assert.Assert(t, ok)
 	assert.Equal(t, fence, bramleytack.Fence(1))
