--- a/btview/cell.go
+++ b/btview/cell.go
@@ -15,8 +15,10 @@
 	"bramleytack/btwire"
 )
 
-// Cell is a daemon's part in the membership of its cell. The exported fields
-// are set before Run and not changed after it.
+// Cell is one daemon's participation in the membership of its cell. The exported
+// fields must be set before the first call and not changed afterwards; only the
+// fields that may be nil are optional. Run is called once; the other methods are
+// safe for concurrent use.
 type Cell struct {
 	Name      bramleytack.CellID
 	Self      Member
@@ -24,39 +26,45 @@
 	Store     bramleytack.Store
 	Timer     bramleytack.Timer
 	Transport Transport
-	// OnView is called with each installed view before it is acknowledged. It
-	// must return soon. It may be nil.
+	// OnView is called with each installed view before it is acknowledged. Calls
+	// do not overlap. It must return soon. It may be nil.
 	OnView func(*View)
 	// ConfigRevision returns the revision of the daemon's configuration, for
 	// heartbeats and their replies. It may be nil.
 	ConfigRevision func() bramleytack.Revision
-	// OnConfigRevision is called with the revision of a peer. It may be nil.
+	// OnConfigRevision is called with each configuration revision that a peer
+	// reports. It may be nil.
 	OnConfigRevision func(host bramleytack.HostID, r bramleytack.Revision)
 
-	// installing keeps installations and their callbacks in order.
+	// installing is a lock that orders installations and their OnView calls.
 	installing chan struct{}
 
-	mu      sync.Mutex
-	member  member
-	acked   uint64
-	holder  *holder
-	pending *viewWrite
-	hostsAt time.Time
-	target  target
-	// term is the newest term of the lease that target was taken from.
-	term    uint64
-	rotate  int
-	readAt  time.Time
-	leaving bool
-	// retryAt is when the holder's loop may call the store again. Only the
-	// loop uses it.
+	mu     sync.Mutex
+	member memberState
+	// acked is the number of the newest view for which OnView has returned.
+	acked uint64
+	// holder is nil while this daemon does not hold the lease.
+	holder *holder
+	// pending is nil while no write of a view is pending.
+	pending     *viewWrite
+	hostsReadAt time.Time
+	target      target
+	// targetTerm is the newest term of the lease for which target was set from
+	// the lease object.
+	targetTerm uint64
+	// targetTurn counts the changes of target after failures.
+	targetTurn int
+	viewReadAt time.Time
+	leaving    bool
+	// retryAt is the earliest time of the holder loop's next step. Only
+	// holderLoop uses it.
 	retryAt time.Time
-	// failures counts heartbeats without the holder's answer in a row. Only
-	// the heartbeats' loop uses it.
-	failures int
-	beat     chan struct{}
-	once     sync.Once
-	pushes   sync.WaitGroup
+	// failures counts consecutive heartbeats without a reply of the holder. Only
+	// heartbeatLoop uses it.
+	failures     int
+	heartbeatNow chan struct{}
+	once         sync.Once
+	pushes       sync.WaitGroup
 }
 
 // target is the daemon that heartbeats go to.
@@ -65,26 +73,26 @@
 	addr netip.AddrPort
 }
 
-// Run takes part in the cell until ctx ends.
+// Run runs the membership protocol until ctx ends. It does not leave the cell.
 func (c *Cell) Run(ctx context.Context) {
 	c.init()
 	var running sync.WaitGroup
-	running.Go(func() { c.beatLoop(ctx) })
-	running.Go(func() { c.readLoop(ctx) })
-	running.Go(func() { c.holdLoop(ctx) })
+	running.Go(func() { c.heartbeatLoop(ctx) })
+	running.Go(func() { c.viewReadLoop(ctx) })
+	running.Go(func() { c.holderLoop(ctx) })
 	running.Wait()
 	c.pushes.Wait()
 }
 
-// View returns the installed view, or nil.
+// View returns the installed view, or nil if there is none yet.
 func (c *Cell) View() *View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.member.view
 }
 
-// Owner returns the owner of an upstream by the installed view, and the view's
-// number. The host is empty when there is no view.
+// Owner returns the owner of an upstream in the installed view, and the view's
+// number. The host is empty if there is no view.
 func (c *Cell) Owner(id bramleytack.UpstreamID) (bramleytack.HostID, uint64) {
 	v := c.View()
 	if v == nil {
@@ -94,16 +102,17 @@
 	return m.Host, v.Number
 }
 
-// MayGrant says how far this daemon may grant reservations of an upstream now.
+// MayGrant returns to what extent this daemon may grant reservations of an
+// upstream now.
 func (c *Cell) MayGrant(id bramleytack.UpstreamID) Permission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Timer.Now()
-	return c.member.mayGrant(now, id, c.member.lease(now))
+	return c.member.mayGrant(now, id, c.member.leaseRemaining(now))
 }
 
-// Leave takes the daemon out of the view and gives the lease up. It returns
-// when both are done, or with the context's error. Run has to go on meanwhile.
+// Leave removes the daemon from the view and releases the lease. It returns when
+// both are done, or with the context's error. Run must be running meanwhile.
 func (c *Cell) Leave(ctx context.Context) error {
 	c.init()
 	c.mu.Lock()
@@ -115,9 +124,10 @@
 			return errors.Wrap(err, "btview: the view still has the leaving member")
 		}
 	}
-	// The next holder knows no acknowledgements yet. Owners that start in this
-	// view would have to wait again.
-	for end := c.Timer.Now().Add(SettleDuration); !c.settled() && c.Timer.Now().Before(end); {
+	// The next holder does not know the acknowledgements that this one has. If
+	// the lease were released now, the new owners of this view would have to wait
+	// again.
+	for end := c.Timer.Now().Add(AckTimeout); !c.allAcksAnnounced() && c.Timer.Now().Before(end); {
 		if err := c.Timer.Sleep(ctx, tickPeriod); err != nil {
 			break
 		}
@@ -132,7 +142,7 @@
 	}
 	m, ok := v.Member(c.Self.Host)
 	// The last member cannot leave a view without members.
-	return ok && same(m, c.Self) && len(v.Members) > 1
+	return ok && sameIncarnation(m, c.Self) && len(v.Members) > 1
 }
 
 func (c *Cell) sendLeaving(ctx context.Context) {
@@ -142,8 +152,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// A lost message is made up for by the heartbeat, which says the same.
-	_, _ = c.Transport.State(ctx, to.host, &btwire.EntryState{
+	// The error is ignored because the heartbeats announce the same.
+	_, _ = c.Transport.AnnounceLeaving(ctx, to.host, &btwire.EntryState{
 		Cell: string(c.Name), Member: encodeMember(c.Self), Leaving: true,
 	})
 }
@@ -152,13 +162,14 @@
 	c.once.Do(func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.beat = make(chan struct{}, 1)
+		c.heartbeatNow = make(chan struct{}, 1)
 		c.installing = make(chan struct{}, 1)
 		c.member.self = c.Self
 	})
 }
 
-// install takes a newer view, runs the callback and then acknowledges.
+// install installs a view if it is newer than the current one, calls OnView and
+// then acknowledges the view by a heartbeat.
 func (c *Cell) install(v *View) {
 	// A push may arrive before Run.
 	c.init()
@@ -171,19 +182,20 @@
 	if !ok {
 		return
 	}
-	c.connect(old, v)
-	c.aim(v)
+	c.updatePeers(old, v)
+	c.targetHolder(v)
 	if c.OnView != nil {
 		c.OnView(v)
 	}
 	c.mu.Lock()
 	c.acked = v.Number
 	c.mu.Unlock()
-	c.wake()
+	c.triggerHeartbeat()
 }
 
-// connect makes the members of a view known to the transport.
-func (c *Cell) connect(old, v *View) {
+// updatePeers gives the transport the addresses of the new view's members and
+// removes peers that are in neither this view nor its earlier ones.
+func (c *Cell) updatePeers(old, v *View) {
 	for _, m := range v.Members {
 		c.Transport.SetPeer(m.Host, m.PeerAddr)
 	}
@@ -197,8 +209,8 @@
 	}
 }
 
-// aim sends the next heartbeats to the holder of a view.
-func (c *Cell) aim(v *View) {
+// targetHolder makes the holder of a view the target of heartbeats.
+func (c *Cell) targetHolder(v *View) {
 	m, ok := v.Member(v.Holder)
 	if !ok || m.Host == c.Self.Host {
 		return
@@ -210,25 +222,26 @@
 
 func inPrevious(v *View, host bramleytack.HostID) bool {
 	return slices.ContainsFunc(v.Previous, func(p Previous) bool {
-		_, ok := find(p.Members, host)
+		_, ok := findMember(p.Members, host)
 		return ok
 	})
 }
 
-func (c *Cell) wake() {
+func (c *Cell) triggerHeartbeat() {
 	c.init()
 	select {
-	case c.beat <- struct{}{}:
+	case c.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-// readLoop renews the view lease from the store while the holder does not.
-func (c *Cell) readLoop(ctx context.Context) {
+// viewReadLoop renews the view lease by reads of the view object while the holder
+// does not renew it.
+func (c *Cell) viewReadLoop(ctx context.Context) {
 	tick := c.Timer.Every(tickPeriod, 0)
 	defer tick.Stop()
 	for {
-		if c.readDue() {
+		if c.viewReadDue() {
 			c.readView(ctx)
 		}
 		select {
@@ -239,15 +252,15 @@
 	}
 }
 
-func (c *Cell) readDue() bool {
+func (c *Cell) viewReadDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Timer.Now()
-	stale := c.member.lease(now) <= LeaseDuration-readPeriod
-	if !stale || now.Sub(c.readAt) < readPeriod {
+	stale := c.member.leaseRemaining(now) <= LeaseDuration-viewReadPeriod
+	if !stale || now.Sub(c.viewReadAt) < viewReadPeriod {
 		return false
 	}
-	c.readAt = now
+	c.viewReadAt = now
 	return true
 }
 
@@ -255,16 +268,16 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := c.Timer.Now()
-	v, version, _, err := c.get(ctx)
+	v, version, _, err := c.getView(ctx)
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
-	c.member.reached(c.Timer.Now())
-	old := version < c.member.version
-	c.member.version = max(c.member.version, version)
+	c.member.recordContact(c.Timer.Now())
+	outdated := version < c.member.seenVersion
+	c.member.seenVersion = max(c.member.seenVersion, version)
 	c.mu.Unlock()
-	if v == nil || old {
+	if v == nil || outdated {
 		return
 	}
 	c.install(v)
@@ -273,8 +286,9 @@
 	c.mu.Unlock()
 }
 
-// get reads the view object. The view is nil if there is none.
-func (c *Cell) get(ctx context.Context) (*View, bramleytack.Revision, string, error) {
+// getView reads the view object and returns the view, the object's version and
+// its change id. The view is nil if there is no object.
+func (c *Cell) getView(ctx context.Context) (*View, bramleytack.Revision, string, error) {
 	o, err := c.Store.Get(ctx, c.key())
 	if errors.Is(err, bramleytack.ErrNotFound) {
 		return nil, 0, "", nil
@@ -300,21 +314,22 @@
 	return uint64(c.ConfigRevision())
 }
 
-func (c *Cell) sawConfig(host bramleytack.HostID, r uint64) {
+func (c *Cell) reportConfigRevision(host bramleytack.HostID, r uint64) {
 	if c.OnConfigRevision != nil {
 		c.OnConfigRevision(host, bramleytack.Revision(r))
 	}
 }
 
-// LastContact returns the time of the last answer of the store or of a peer.
+// LastContact returns when a peer last sent a heartbeat, a view or a reply, or
+// the store last answered a read of the view.
 func (c *Cell) LastContact() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.member.contact
+	return c.member.lastContact
 }
 
-// ViewLeaseStart returns the start of the view lease: when this member last asked the
-// holder or the store with success.
+// ViewLeaseStart returns when this member sent the newest heartbeat or read that
+// confirmed its view.
 func (c *Cell) ViewLeaseStart() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/btview/cell_test.go
+++ b/btview/cell_test.go
@@ -19,18 +19,18 @@
 	apply func(s *sim, r *rand.Rand)
 }
 
-func wait(r *rand.Rand, limit time.Duration) time.Duration {
+func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(limit)))
 }
 
-func (s *sim) any(r *rand.Rand) bramleytack.HostID { return s.hosts[r.IntN(len(s.hosts))] }
+func (s *sim) anyHost(r *rand.Rand) bramleytack.HostID { return s.hosts[r.IntN(len(s.hosts))] }
 
-// leader returns the holder, or any host while there is none.
-func (s *sim) leader(r *rand.Rand) bramleytack.HostID {
+// holderOrAny returns the holder, or any host while there is none.
+func (s *sim) holderOrAny(r *rand.Rand) bramleytack.HostID {
 	if h := s.holder(); h != "" {
 		return h
 	}
-	return s.any(r)
+	return s.anyHost(r)
 }
 
 func (s *sim) pause(h bramleytack.HostID, d time.Duration) {
@@ -45,7 +45,8 @@
 	s.start(h)
 }
 
-// partition blocks paths from and to a host for a time.
+// partition blocks the paths from a host to others (out) or from others to it
+// (in) for a duration.
 func (s *sim) partition(h bramleytack.HostID, d time.Duration, out, in bool, others ...bramleytack.HostID) {
 	set := func(on bool) {
 		for _, other := range others {
@@ -65,56 +66,56 @@
 }
 
 var faults = []fault{
-	{"holder dies", func(s *sim, r *rand.Rand) { s.restart(s.leader(r), wait(r, 15*time.Second)) }},
-	{"member restarts", func(s *sim, r *rand.Rand) { s.restart(s.any(r), wait(r, 5*time.Second)) }},
-	{"holder paused", func(s *sim, r *rand.Rand) { s.pause(s.leader(r), wait(r, 20*time.Second)) }},
-	{"member paused", func(s *sim, r *rand.Rand) { s.pause(s.any(r), wait(r, 8*time.Second)) }},
+	{"holder dies", func(s *sim, r *rand.Rand) { s.restart(s.holderOrAny(r), randomDuration(r, 15*time.Second)) }},
+	{"member restarts", func(s *sim, r *rand.Rand) { s.restart(s.anyHost(r), randomDuration(r, 5*time.Second)) }},
+	{"holder paused", func(s *sim, r *rand.Rand) { s.pause(s.holderOrAny(r), randomDuration(r, 20*time.Second)) }},
+	{"member paused", func(s *sim, r *rand.Rand) { s.pause(s.anyHost(r), randomDuration(r, 8*time.Second)) }},
 	{"asymmetric partition of peers", func(s *sim, r *rand.Rand) {
 		out := r.IntN(2) == 0
-		s.partition(s.any(r), wait(r, 15*time.Second), out, !out, s.hosts...)
+		s.partition(s.anyHost(r), randomDuration(r, 15*time.Second), out, !out, s.hosts...)
 	}},
 	{"one path blocked", func(s *sim, r *rand.Rand) {
-		s.partition(s.leader(r), wait(r, 15*time.Second), true, r.IntN(2) == 0, s.any(r))
+		s.partition(s.holderOrAny(r), randomDuration(r, 15*time.Second), true, r.IntN(2) == 0, s.anyHost(r))
 	}},
 	{"host isolated", func(s *sim, r *rand.Rand) {
-		s.partition(s.any(r), wait(r, 15*time.Second), true, true, append([]bramleytack.HostID{storeHost}, s.hosts...)...)
+		s.partition(s.anyHost(r), randomDuration(r, 15*time.Second), true, true, append([]bramleytack.HostID{storeHost}, s.hosts...)...)
 	}},
 	{"host cut off from the store", func(s *sim, r *rand.Rand) {
-		s.partition(s.leader(r), wait(r, 15*time.Second), r.IntN(2) == 0, true, storeHost)
+		s.partition(s.holderOrAny(r), randomDuration(r, 15*time.Second), r.IntN(2) == 0, true, storeHost)
 	}},
 	{"store down", func(s *sim, r *rand.Rand) {
-		s.storeFault(btmemstore.Fault{Down: true}, wait(r, 20*time.Second))
+		s.storeFault(btmemstore.Fault{Down: true}, randomDuration(r, 20*time.Second))
 	}},
 	{"store slow and a member dies", func(s *sim, r *rand.Rand) {
-		s.store.SetFault(btmemstore.Fault{Latency: wait(r, 1500*time.Millisecond)})
-		s.restart(s.any(r), wait(r, 10*time.Second))
+		s.store.SetFault(btmemstore.Fault{Latency: randomDuration(r, 1500*time.Millisecond)})
+		s.restart(s.anyHost(r), randomDuration(r, 10*time.Second))
 		s.store.SetFault(btmemstore.Fault{})
 	}},
 	{"replies lost and a member dies", func(s *sim, r *rand.Rand) {
 		s.store.SetFault(btmemstore.Fault{LoseReplies: 1 + r.IntN(4), DropWrites: r.IntN(3)})
-		s.restart(s.any(r), wait(r, 10*time.Second))
+		s.restart(s.anyHost(r), randomDuration(r, 10*time.Second))
 	}},
-	// A read that shows an old view as unchanged confirms it wrongly. For this
-	// row only, the old owner may be Full while the new one is HalfWithheld.
+	// A stale read can confirm an outdated view. For this fault only, the old
+	// owner may be Full while the new one is HalfWithheld.
 	{"stale reads and a member is cut off", func(s *sim, r *rand.Rand) {
 		s.staleReads = true
 		s.store.SetFault(btmemstore.Fault{StaleReads: max(1, uint64(s.store.Revision()))})
-		s.partition(s.any(r), wait(r, 10*time.Second), true, true, s.hosts...)
+		s.partition(s.anyHost(r), randomDuration(r, 10*time.Second), true, true, s.hosts...)
 		s.store.SetFault(btmemstore.Fault{})
 	}},
 	{"links slow", func(s *sim, r *rand.Rand) {
 		s.network.mu.Lock()
-		s.network.delay = wait(r, 400*time.Millisecond)
+		s.network.delay = randomDuration(r, 400*time.Millisecond)
 		s.network.mu.Unlock()
-		s.restart(s.any(r), wait(r, 6*time.Second))
+		s.restart(s.anyHost(r), randomDuration(r, 6*time.Second))
 		s.network.mu.Lock()
 		s.network.delay = 0
 		s.network.mu.Unlock()
 	}},
 }
 
-// Guards against two owners that may grant an upstream at full limit at the
-// same instant, and against cells that do not recover.
+// Guards against two owners that may grant the same upstream at the same time
+// (apart from Fallback mode), and against cells that do not recover from a fault.
 func TestOneOwner(t *testing.T) {
 	const seeds = 16
 	for _, f := range faults {
@@ -123,20 +124,20 @@
 				synctest.Test(t, func(t *testing.T) {
 					r := rand.New(rand.NewPCG(seed, 11))
 					s := newSim(t, 4, 4, seed)
-					s.watch(3*time.Second + wait(r, 3*time.Second))
+					s.watch(3*time.Second + randomDuration(r, 3*time.Second))
 					for range 3 {
 						f.apply(s, r)
-						s.watch(wait(r, 6*time.Second))
+						s.watch(randomDuration(r, 6*time.Second))
 					}
 					s.watch(45 * time.Second)
-					s.assertSettled()
+					s.assertRecovered()
 				})
 			}
 		})
 	}
 }
 
-// Guards against mixtures of faults that no single row shows.
+// Guards against failures that only a sequence of different faults causes.
 func TestOneOwnerMixed(t *testing.T) {
 	const seeds = 24
 	for seed := range uint64(seeds) {
@@ -150,82 +151,82 @@
 					continue
 				}
 				f.apply(s, r)
-				s.watch(wait(r, 3*time.Second))
+				s.watch(randomDuration(r, 3*time.Second))
 			}
 			s.watch(60 * time.Second)
-			s.assertSettled()
+			s.assertRecovered()
 		})
 	}
 }
 
-// Guards against ownership that stops or lasts too long around a change of
-// members.
-func TestChanges(t *testing.T) {
+// Guards against upstreams without an owner for too long, and against owners that
+// keep their ownership for too long, when the members of a cell change.
+func TestMembershipChanges(t *testing.T) {
 	run := func(name string, f func(t *testing.T, s *sim)) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSim(t, 4, 8, 1)
 				s.watch(15 * time.Second)
-				s.assertSettled()
-				clear(s.worst)
-				clear(s.missing)
+				s.assertRecovered()
+				clear(s.longestOwnerless)
+				clear(s.ownerless)
 				f(t, s)
 			})
 		})
 	}
-	worst := func(s *sim, kept func(bramleytack.UpstreamID) bool) time.Duration {
+	longestGap := func(s *sim, include func(bramleytack.UpstreamID) bool) time.Duration {
 		var d time.Duration
-		for id, w := range s.worst {
-			if kept(id) {
+		for id, w := range s.longestOwnerless {
+			if include(id) {
 				d = max(d, w)
 			}
 		}
 		return d
 	}
-	everything := func(bramleytack.UpstreamID) bool { return true }
+	allUpstreams := func(bramleytack.UpstreamID) bool { return true }
 	run("a healthy cell keeps its view and reads nothing", func(t *testing.T, s *sim) {
 		number, counts := s.network.cell("h0").View().Number, s.store.Counts()
 		s.watch(30 * time.Second)
 		assert.Equal(t, s.network.cell("h0").View().Number, number)
-		assert.Equal(t, worst(s, everything), time.Duration(0))
+		assert.Equal(t, longestGap(s, allUpstreams), time.Duration(0))
 		assert.Equal(t, s.store.Counts().Reads, counts.Reads)
 	})
-	run("the holder dies and ownership of the others goes on", func(t *testing.T, s *sim) {
+	run("the other members keep their ownership when the holder dies", func(t *testing.T, s *sim) {
 		old := s.holder()
-		dead := map[bramleytack.UpstreamID]bool{}
+		ownedByDead := map[bramleytack.UpstreamID]bool{}
 		for _, id := range s.upstreams {
 			o, _ := s.network.cell("h0").Owner(id)
-			dead[id] = o == old
+			ownedByDead[id] = o == old
 		}
 		s.stop(old)
 		s.watch(8 * time.Second)
-		assert.Equal(t, worst(s, func(id bramleytack.UpstreamID) bool { return !dead[id] }), time.Duration(0))
+		assert.Equal(t, longestGap(s, func(id bramleytack.UpstreamID) bool { return !ownedByDead[id] }), time.Duration(0))
 		s.watch(15 * time.Second)
 		assert.Assert(t, s.holder() != "" && s.holder() != old)
-		assert.Equal(t, worst(s, func(id bramleytack.UpstreamID) bool { return !dead[id] }), time.Duration(0))
+		assert.Equal(t, longestGap(s, func(id bramleytack.UpstreamID) bool { return !ownedByDead[id] }), time.Duration(0))
 	})
 	for _, name := range []string{"member", "holder"} {
-		run("a "+name+" leaves without the waiting time", func(t *testing.T, s *sim) {
-			leaver := s.holder()
+		run("a "+name+" leaves without a wait for AckTimeout", func(t *testing.T, s *sim) {
+			leaving := s.holder()
 			if name == "member" {
-				leaver = otherThan(s, leaver)
+				leaving = otherThan(s, leaving)
 			}
 			left := make(chan error, 1)
 			go func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
-				left <- s.network.cell(leaver).Leave(ctx)
+				left <- s.network.cell(leaving).Leave(ctx)
 			}()
 			s.watch(10 * time.Second)
 			assert.NilError(t, <-left)
-			assert.Assert(t, worst(s, everything) < LeaseDuration, "%v", worst(s, everything))
+			assert.Assert(t, longestGap(s, allUpstreams) < LeaseDuration, "%v", longestGap(s, allUpstreams))
 			for _, h := range s.hosts {
-				_, ok := s.network.cell(h).View().Member(leaver)
+				_, ok := s.network.cell(h).View().Member(leaving)
 				assert.Assert(t, !ok)
 			}
 		})
 	}
-	run("nothing is confirmed while the outcome of a view's write is unknown", func(t *testing.T, s *sim) {
+	run("the holder confirms no view while the outcome of a write is unknown", func(t *testing.T, s *sim) {
 		h, m := s.holder(), otherThan(s, s.holder())
 		s.network.block(storeHost, h, true)
 		for _, other := range s.hosts {
@@ -236,11 +237,11 @@
 		s.watch(4 * time.Second)
 		_, _, held := s.network.cell(h).Lease.Held()
 		assert.Assert(t, held)
-		r, err := s.network.cell(h).HandleHeartbeat(t.Context(), m, s.network.cell(m).heartbeat())
+		r, err := s.network.cell(h).HandleHeartbeat(t.Context(), m, s.network.cell(m).newHeartbeat())
 		assert.NilError(t, err)
 		assert.Equal(t, r.GetViewLease().AsDuration(), time.Duration(0))
 	})
-	run("a store outage ends in the fallback of the owners", func(t *testing.T, s *sim) {
+	run("the owners are in Fallback during a store outage and recover", func(t *testing.T, s *sim) {
 		s.store.SetFault(btmemstore.Fault{Down: true})
 		s.watch(15 * time.Second)
 		for _, id := range s.upstreams {
@@ -249,15 +250,15 @@
 		}
 		s.store.SetFault(btmemstore.Fault{})
 		s.watch(20 * time.Second)
-		s.assertSettled()
+		s.assertRecovered()
 	})
-	run("a host that reaches nobody accepts nothing", func(t *testing.T, s *sim) {
+	run("a host that reaches neither the store nor a peer is Isolated", func(t *testing.T, s *sim) {
 		h := otherThan(s, s.holder())
 		id := owned(s, h)
 		s.partition(h, 8*time.Second, true, true, append([]bramleytack.HostID{storeHost}, s.hosts...)...)
 		assert.Equal(t, s.network.cell(h).MayGrant(id).Mode, Isolated)
 	})
-	run("a paused owner finds its lease expired and its successor reserves", func(t *testing.T, s *sim) {
+	run("a paused owner finds its lease expired and the next owner withholds half", func(t *testing.T, s *sim) {
 		h := otherThan(s, s.holder())
 		id := owned(s, h)
 		s.network.pause(h)
@@ -270,7 +271,7 @@
 		s.watch(WithholdDuration)
 		assert.Equal(t, s.network.cell(next).MayGrant(id).Mode, Full)
 	})
-	run("a holder that hears nobody gives the lease up", func(t *testing.T, s *sim) {
+	run("a holder that gets no heartbeats resigns", func(t *testing.T, s *sim) {
 		old := s.holder()
 		s.partition(old, 20*time.Second, true, true, s.hosts...)
 		assert.Assert(t, s.holder() != old && s.holder() != "")
@@ -278,6 +279,7 @@
 	})
 }
 
+// otherThan returns a host that is not h.
 func otherThan(s *sim, h bramleytack.HostID) bramleytack.HostID {
 	if s.hosts[0] == h {
 		return s.hosts[1]
--- a/btview/doc.go
+++ b/btview/doc.go
@@ -1,19 +1,21 @@
-// Package btview agrees on the members of a cell and on the owner of each
-// upstream.
+// Package btview implements the membership of a cell: the daemons agree on
+// numbered views, and each view determines the owner of each upstream.
 //
-// The holder of the cell's lease writes numbered views to the store and then
-// tells the members. It stops confirming a view before it writes the next one.
-// Members send it heartbeats and get view leases, counted from the sending of
-// the heartbeat. A member that cannot reach the holder reads the view from the
-// store instead: an unchanged number proves that no later view was in use when
-// the read was sent. This needs reads that show all completed writes. Reads
-// that are older than what the member has seen are dropped.
+// The holder of the cell's lease writes a view to the store and then pushes it
+// to the members. It stops confirming a view before it writes the next one.
+// Members send heartbeats to the holder. The reply is a view lease: it confirms
+// the member's view for a time, counted from when the heartbeat was sent. A
+// member that cannot reach the holder reads the view from the store instead: an
+// unchanged number proves that no later view was in use when the read was sent.
+// This requires reads that reflect all completed writes. Reads that return an
+// older version than the member has seen are ignored.
 //
 // The owner of an upstream is the member with the highest rendezvous hash. A
-// new owner waits until every member of the earlier views acknowledged, or
-// until their view leases and grants have expired. After a wait without the
-// old owner's acknowledgement it leaves part of the capacity unused for a
-// time, because the old owner may still serve in the fallback state.
+// new owner waits until every member of the earlier views has acknowledged the
+// new one, or until their view leases and grants have expired. If the old
+// owner's acknowledgement is still missing then, the new owner leaves half of
+// the base limit of a cold upstream unused for a time, because the old owner
+// may still serve it in Fallback mode.
 //
 // # Usage
 //
@@ -25,7 +27,8 @@
 //		grant(p.ViewNumber)
 //	}
 //
-// Call MayGrant for each grant and keep no copy of its answer. An entry refuses
-// grants of a view older than its own, and tells a new owner its reservations
-// from OnView, which runs before the view is acknowledged.
+// Call MayGrant for each grant; a stored result becomes outdated. An entry
+// daemon rejects grants of a view older than its own. In OnView, which runs
+// before the view is acknowledged, it reports the reservations that it uses to
+// their new owner.
 package btview
--- a/btview/holder.go
+++ b/btview/holder.go
@@ -7,64 +7,70 @@
 	"bramleytack"
 )
 
-// peer is what the holder knows of one daemon.
+// peer is what the holder knows about one daemon.
 type peer struct {
-	member  Member
-	heard   time.Time
+	member        Member
+	lastHeartbeat time.Time
+	// acked is the newest view that the daemon acknowledged.
 	acked   uint64
 	leaving bool
 }
 
-// holder is the state of the daemon that holds the lease, without its I/O. All
-// times are passed in.
+// holder is the state of the daemon that holds the lease during one term. It does
+// no I/O and reads no clock.
 type holder struct {
 	fence bramleytack.Fence
-	// began is when the lease was acquired.
-	began time.Time
-	peers map[bramleytack.HostID]*peer
-	// view is the newest view in the store, nil before the first is read.
-	view    *View
-	version bramleytack.Revision
-	read    bool
+	// acquiredAt is when the daemon noticed that it acquired the lease.
+	acquiredAt time.Time
+	peers      map[bramleytack.HostID]*peer
+	// view is the newest view in the store, nil if there is none or viewRead is
+	// not set. version is the version of its object.
+	view     *View
+	version  bramleytack.Revision
+	viewRead bool
 	// confirming is set while the view may be confirmed to members.
 	confirming bool
-	// successor is when a later view was written, by the earlier's number.
-	successor map[uint64]time.Time
-	changed   time.Time
-	// announced is the newest view that all members are told to be settled.
+	// supersededAt is when this holder first wrote a later view, by the number of
+	// the earlier one.
+	supersededAt map[uint64]time.Time
+	// changedAt is when the members first differed from the view's, or zero.
+	changedAt time.Time
+	// announced is the newest view whose complete acknowledgement was announced.
 	announced uint64
-	gone      map[bramleytack.HostID]bool
+	// gone are hosts of earlier views that are not in the host list.
+	gone map[bramleytack.HostID]bool
 }
 
 func newHolder(now time.Time, fence bramleytack.Fence) *holder {
 	return &holder{
-		fence: fence, began: now, peers: map[bramleytack.HostID]*peer{},
-		successor: map[uint64]time.Time{}, gone: map[bramleytack.HostID]bool{},
+		fence: fence, acquiredAt: now, peers: map[bramleytack.HostID]*peer{},
+		supersededAt: map[uint64]time.Time{}, gone: map[bramleytack.HostID]bool{},
 	}
 }
 
-// heartbeat records a heartbeat with the view that it acknowledges.
-func (h *holder) heartbeat(now time.Time, m Member, acked uint64, leaving bool) {
+// recordHeartbeat records a heartbeat and the view that it acknowledges.
+func (h *holder) recordHeartbeat(now time.Time, m Member, acked uint64, leaving bool) {
 	p, ok := h.peers[m.Host]
 	if !ok || p.member.Incarnation != m.Incarnation {
 		p = &peer{}
 		h.peers[m.Host] = p
 	}
-	p.member, p.heard = m, now
+	p.member, p.lastHeartbeat = m, now
 	p.acked = max(p.acked, acked)
 	p.leaving = p.leaving || leaving
 }
 
-// took records what the store holds when the lease was acquired.
-func (h *holder) took(v *View, version bramleytack.Revision) {
-	h.view, h.version, h.read = v, version, true
+// setStoredView records the view and the version that a read returned.
+func (h *holder) setStoredView(v *View, version bramleytack.Revision) {
+	h.view, h.version, h.viewRead = v, version, true
 }
 
-// wanted returns the members that the next view should have.
-func (h *holder) wanted(now time.Time) []Member {
+// liveMembers returns the daemons that sent a heartbeat within MemberTimeout and
+// are not leaving.
+func (h *holder) liveMembers(now time.Time) []Member {
 	var members []Member
 	for _, p := range h.peers {
-		if !p.leaving && now.Sub(p.heard) < SilenceLimit {
+		if !p.leaving && now.Sub(p.lastHeartbeat) < MemberTimeout {
 			members = append(members, p.member)
 		}
 	}
@@ -72,89 +78,92 @@
 	return members
 }
 
-// next returns the view to write, or nil when no change is due.
-func (h *holder) next(now time.Time, self Member) *View {
-	members := h.wanted(now)
-	if !h.read || len(members) == 0 {
+// nextView returns the view to write, or nil if none is due.
+func (h *holder) nextView(now time.Time, self Member) *View {
+	members := h.liveMembers(now)
+	if !h.viewRead || len(members) == 0 {
 		return nil
 	}
 	if h.view != nil && h.view.Fence == h.fence {
-		return h.change(now, members, self)
+		return h.nextInTerm(now, members, self)
 	}
-	// The first view of a term is written even if the members are the same: it
-	// makes late writes of former holders fail. It waits for the members to
-	// find the new holder.
-	if now.Sub(h.began) < h.gathering() && !h.complete(members) {
+	// The first view of a term is written even if the members are the same,
+	// because it makes late writes of former holders fail. It waits until the
+	// members have found the new holder.
+	if now.Sub(h.acquiredAt) < h.gatherTime() && !h.allPresent(members) {
 		return nil
 	}
-	return h.build(now, members, self)
+	return h.buildView(now, members, self)
 }
 
-// gathering is how long the first view of a term waits for members.
-func (h *holder) gathering() time.Duration {
+// gatherTime returns how long the first view of a term waits for heartbeats.
+func (h *holder) gatherTime() time.Duration {
 	if h.view == nil {
-		return batchPeriod
+		return batchDelay
 	}
-	return gatherLimit
+	return gatherTimeout
 }
 
-// complete reports whether all members of the last view but its holder are
-// among those heard from.
-func (h *holder) complete(members []Member) bool {
+// allPresent reports whether members has all members of the last view. The
+// former holder may be absent.
+func (h *holder) allPresent(members []Member) bool {
 	if h.view == nil {
 		return false
 	}
 	for _, m := range h.view.Members {
-		if _, ok := find(members, m.Host); !ok && m.Host != h.view.Holder {
+		if _, ok := findMember(members, m.Host); !ok && m.Host != h.view.Holder {
 			return false
 		}
 	}
 	return true
 }
 
-// change returns the next view of the same term once a batch is complete.
-func (h *holder) change(now time.Time, members []Member, self Member) *View {
+// nextInTerm returns a view with changed members batchDelay after the first
+// change, or nil.
+func (h *holder) nextInTerm(now time.Time, members []Member, self Member) *View {
 	if slices.EqualFunc(members, h.view.Members, func(a, b Member) bool { return a == b }) {
-		h.changed = time.Time{}
+		h.changedAt = time.Time{}
 		return nil
 	}
-	if h.changed.IsZero() {
-		h.changed = now
+	if h.changedAt.IsZero() {
+		h.changedAt = now
 	}
-	if now.Sub(h.changed) < batchPeriod || len(h.view.Previous) >= maxPrevious {
+	if now.Sub(h.changedAt) < batchDelay || len(h.view.Previous) >= maxPrevious {
 		return nil
 	}
-	return h.build(now, members, self)
+	return h.buildView(now, members, self)
 }
 
-func (h *holder) build(now time.Time, members []Member, self Member) *View {
+func (h *holder) buildView(now time.Time, members []Member, self Member) *View {
 	v := &View{Number: 1, Fence: h.fence, Holder: self.Host, Members: members}
 	if h.view == nil {
 		return v
 	}
 	v.Number = h.view.Number + 1
-	v.Previous = h.previous(now)
+	v.Previous = h.previousViews(now)
 	return v
 }
 
-// previous returns the earlier views that a new owner has to respect.
-func (h *holder) previous(now time.Time) []Previous {
+// previousViews returns the earlier views that a new owner has to take into
+// account, and the current one. It omits views that were superseded at least
+// WithholdDuration ago or that all their members have left.
+func (h *holder) previousViews(now time.Time) []Previous {
 	var list []Previous
 	for _, p := range h.view.Previous {
-		at, ok := h.successor[p.Number]
-		if ok && now.Sub(at) >= WithholdDuration || h.left(p) {
+		at, ok := h.supersededAt[p.Number]
+		if ok && now.Sub(at) >= WithholdDuration || h.membersAcked(p) {
 			continue
 		}
-		p.Expired = p.Expired || ok && now.Sub(at) >= SettleDuration
+		p.Expired = p.Expired || ok && now.Sub(at) >= AckTimeout
 		list = append(list, p)
 	}
-	list = withoutRepeats(list)
+	list = dropRepeats(list)
 	return append(list, Previous{Number: h.view.Number, Members: h.view.Members})
 }
 
-// withoutRepeats drops expired views with the same members as a later one. A
-// member that comes and goes would make the list long otherwise.
-func withoutRepeats(list []Previous) []Previous {
+// dropRepeats drops expired views with the same members as a later one. Otherwise
+// a member that leaves and returns repeatedly would make the list long.
+func dropRepeats(list []Previous) []Previous {
 	var kept []Previous
 	for i, p := range list {
 		repeated := slices.ContainsFunc(list[i+1:], func(later Previous) bool {
@@ -167,40 +176,41 @@
 	return kept
 }
 
-// left reports whether all members of an earlier view acknowledged the current
-// one. Its grants are then known to their new owners.
-func (h *holder) left(prev Previous) bool {
+// membersAcked reports whether all members of an earlier view have acknowledged
+// the current one. They have then reported their grants to the new owners.
+func (h *holder) membersAcked(prev Previous) bool {
 	for _, m := range prev.Members {
-		if h.missing(m.Host) {
+		if h.ackMissing(m.Host) {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *holder) missing(host bramleytack.HostID) bool {
+func (h *holder) ackMissing(host bramleytack.HostID) bool {
 	p, ok := h.peers[host]
 	return !ok || p.acked < h.view.Number
 }
 
-// wrote records that a view is in the store.
-func (h *holder) wrote(now time.Time, v *View, version bramleytack.Revision) {
+// setWritten records that a view was written to the store.
+func (h *holder) setWritten(now time.Time, v *View, version bramleytack.Revision) {
 	h.view, h.version = v, version
-	h.changed = time.Time{}
+	h.changedAt = time.Time{}
 	h.confirming = true
 	for _, p := range v.Previous {
-		if _, ok := h.successor[p.Number]; !ok {
-			h.successor[p.Number] = now
+		if _, ok := h.supersededAt[p.Number]; !ok {
+			h.supersededAt[p.Number] = now
 		}
 	}
 }
 
-// acks returns who has not acknowledged the current view.
-func (h *holder) acks() acks {
-	a := acks{number: h.view.Number, missing: map[bramleytack.HostID]bool{}, gone: h.gone}
+// acks returns which members of the current and the earlier views have not
+// acknowledged the current one.
+func (h *holder) acks() ackStatus {
+	a := ackStatus{number: h.view.Number, missing: map[bramleytack.HostID]bool{}, gone: h.gone}
 	for _, p := range append(slices.Clone(h.view.Previous), Previous{Members: h.view.Members}) {
 		for _, m := range p.Members {
-			if h.missing(m.Host) {
+			if h.ackMissing(m.Host) {
 				a.missing[m.Host] = true
 			}
 		}
@@ -208,38 +218,39 @@
 	return a
 }
 
-// cutOff reports whether the silence of most daemons speaks for a fault of the
-// holder's own links. Another daemon should then take the lease.
-func (h *holder) cutOff(now time.Time) bool {
-	if !h.confirms() || now.Sub(h.began) < settledAge {
+// suspectsOwnLinks reports whether most daemons are silent, which indicates a
+// fault of the holder's own links. Another daemon should then acquire the lease.
+func (h *holder) suspectsOwnLinks(now time.Time) bool {
+	if !h.canConfirm() || now.Sub(h.acquiredAt) < minTermAge {
 		return false
 	}
-	heard, silent := 0, 0
+	responding, silent := 0, 0
 	for _, p := range h.peers {
-		switch age := now.Sub(p.heard); {
+		switch age := now.Sub(p.lastHeartbeat); {
 		case p.leaving:
-		case age < quietLimit:
-			heard++
-		case age < 2*SilenceLimit:
+		case age < silentAfter:
+			responding++
+		case age < 2*MemberTimeout:
 			silent++
 		}
 	}
-	return silent > heard
+	return silent > responding
 }
 
-// confirms reports whether heartbeats may be answered with a view lease.
-func (h *holder) confirms() bool {
+// canConfirm reports whether a reply to a heartbeat may have a view lease.
+func (h *holder) canConfirm() bool {
 	return h.confirming && h.view != nil && h.view.Fence == h.fence
 }
 
-// settled reports whether nobody's acknowledgement is missing.
-func (h *holder) settled() bool {
-	return h.confirms() && len(h.acks().missing) == 0
+// allAcked reports whether no acknowledgement of the current view is missing.
+func (h *holder) allAcked() bool {
+	return h.canConfirm() && len(h.acks().missing) == 0
 }
 
-// announce reports, once per view, that all acknowledgements are there.
-func (h *holder) announce() bool {
-	if !h.settled() || h.announced == h.view.Number {
+// markAnnounced reports whether all acknowledgements of the current view have
+// arrived and were not announced yet. It marks them as announced.
+func (h *holder) markAnnounced() bool {
+	if !h.allAcked() || h.announced == h.view.Number {
 		return false
 	}
 	h.announced = h.view.Number
--- a/btview/hold.go
+++ b/btview/holder_loop.go
@@ -13,21 +13,22 @@
 	"bramleytack/btwire"
 )
 
-// viewWrite is a write of a view whose outcome is not known yet. Until it is,
-// no view is confirmed.
+// viewWrite is a write of a view that is not finished or whose outcome is not
+// known. While one is pending, no view is confirmed.
 type viewWrite struct {
 	view     *View
 	changeID string
 	expected bramleytack.Revision
-	unknown  bool
+	// mayTakeEffect is set after an attempt with an unknown outcome.
+	mayTakeEffect bool
 }
 
-// holdLoop does the holder's work while the daemon holds the lease.
-func (c *Cell) holdLoop(ctx context.Context) {
+// holderLoop runs holderStep periodically until ctx ends.
+func (c *Cell) holderLoop(ctx context.Context) {
 	tick := c.Timer.Every(tickPeriod, 0)
 	defer tick.Stop()
 	for {
-		c.hold(ctx)
+		c.holderStep(ctx)
 		select {
 		case <-tick.C():
 		case <-ctx.Done():
@@ -36,30 +37,34 @@
 	}
 }
 
-func (c *Cell) hold(ctx context.Context) {
-	if !c.lead() {
+// holderStep does the most urgent task of the holder. It does nothing if the
+// daemon does not hold the lease.
+func (c *Cell) holderStep(ctx context.Context) {
+	if !c.updateHolder() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	switch {
 	case c.Timer.Now().Before(c.retryAt):
-	case c.cutOff():
-		// A failed resignation is tried again, or the lease ends.
+	case c.suspectsOwnLinks():
+		// The error is ignored: the lease repeats the release, and it expires in
+		// any case.
 		_ = c.Lease.Resign(ctx, resignBackoff)
-	case !c.hasRead():
-		c.take(ctx)
-	case c.prepare():
-		c.write(ctx)
-	case c.announce():
+	case !c.hasReadView():
+		c.readStoredView(ctx)
+	case c.prepareWrite():
+		c.writeView(ctx)
+	case c.announceAllAcked():
 	default:
-		c.readHosts(ctx)
+		c.readHostList(ctx)
 	}
 }
 
-// lead starts a term after an acquisition and counts the holder as a member
-// that sent a heartbeat. It reports whether the daemon is the holder.
-func (c *Cell) lead() bool {
+// updateHolder reports whether the daemon holds the lease. It starts a new term
+// after an acquisition, and records and confirms a heartbeat of the daemon to
+// itself.
+func (c *Cell) updateHolder() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Timer.Now()
@@ -71,51 +76,52 @@
 	if c.holder == nil || c.holder.fence != fence {
 		c.holder, c.pending = newHolder(now, fence), nil
 	}
-	c.holder.heartbeat(now, c.Self, c.acked, c.leaving)
-	if c.holder.confirms() {
+	c.holder.recordHeartbeat(now, c.Self, c.acked, c.leaving)
+	if c.holder.canConfirm() {
 		c.member.confirm(now, c.holder.view.Number)
-		c.member.acknowledged(c.holder.acks())
+		c.member.setAcks(c.holder.acks())
 	}
 	return true
 }
 
-func (c *Cell) cutOff() bool {
+func (c *Cell) suspectsOwnLinks() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.holder.cutOff(c.Timer.Now())
+	return c.holder.suspectsOwnLinks(c.Timer.Now())
 }
 
-func (c *Cell) hasRead() bool {
+func (c *Cell) hasReadView() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.holder.read
+	return c.holder.viewRead
 }
 
-// take reads the view that the term begins with.
-func (c *Cell) take(ctx context.Context) {
+// readStoredView reads the last view before the term. The first view of the term
+// follows it.
+func (c *Cell) readStoredView(ctx context.Context) {
 	c.retryAt = c.Timer.Now().Add(retryPeriod)
-	v, version, _, err := c.get(ctx)
+	v, version, _, err := c.getView(ctx)
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.holder != nil && version >= c.member.version {
+	if c.holder != nil && version >= c.member.seenVersion {
 		c.retryAt = time.Time{}
-		c.holder.took(v, version)
-		c.member.version = version
+		c.holder.setStoredView(v, version)
+		c.member.seenVersion = version
 	}
 }
 
-// prepare reports whether a view has to be written. From then on no view is
-// confirmed until the write's outcome is known.
-func (c *Cell) prepare() bool {
+// prepareWrite reports whether a view has to be written and sets c.pending. From
+// then on no view is confirmed until the outcome of the write is known.
+func (c *Cell) prepareWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending != nil {
 		return true
 	}
-	v := c.holder.next(c.Timer.Now(), c.Self)
+	v := c.holder.nextView(c.Timer.Now(), c.Self)
 	if v == nil {
 		return false
 	}
@@ -124,7 +130,7 @@
 	return true
 }
 
-func (c *Cell) write(ctx context.Context) {
+func (c *Cell) writeView(ctx context.Context) {
 	c.retryAt = c.Timer.Now().Add(retryPeriod)
 	c.mu.Lock()
 	h, w := c.holder, c.pending
@@ -136,58 +142,58 @@
 	version, err := c.Store.Put(ctx, bramleytack.Object{Key: c.key(), ChangeID: w.changeID, Data: data}, w.expected)
 	switch {
 	case err == nil:
-		c.wrote(h, w, version)
+		c.completeWrite(h, w, version)
 	case errors.Is(err, bramleytack.ErrStoreDown):
-		c.notWritten(h, w)
+		c.cancelWrite(h, w)
 	default:
-		w.unknown = true
+		w.mayTakeEffect = true
 		c.readBack(ctx, h, w)
 	}
 }
 
-// notWritten resumes the confirmation of the current view after an attempt
-// that had no effect, unless an earlier attempt may have had one.
-func (c *Cell) notWritten(h *holder, w *viewWrite) {
+// cancelWrite confirms the current view again after an attempt that had no
+// effect, unless an earlier attempt may still take effect.
+func (c *Cell) cancelWrite(h *holder, w *viewWrite) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.holder != h || w.unknown {
+	if c.holder != h || w.mayTakeEffect {
 		return
 	}
 	c.pending = nil
 	h.confirming = true
 }
 
-// readBack finds out whether a write took effect. While the object is
-// unchanged the write stays pending and is sent again.
+// readBack reads the view object to learn whether a write took effect. While the
+// object is unchanged, the write stays pending and is sent again.
 func (c *Cell) readBack(ctx context.Context, h *holder, w *viewWrite) {
-	v, version, changeID, err := c.get(ctx)
+	v, version, changeID, err := c.getView(ctx)
 	if err != nil {
 		return
 	}
 	if changeID == w.changeID {
-		c.wrote(h, w, version)
+		c.completeWrite(h, w, version)
 		return
 	}
 	if version <= w.expected {
 		return
 	}
-	// A former holder's late write came first.
+	// A late write of a former holder came first.
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.holder == h {
 		c.pending = nil
-		h.took(v, version)
+		h.setStoredView(v, version)
 	}
 }
 
-// wrote brings a written view into use.
-func (c *Cell) wrote(h *holder, w *viewWrite, version bramleytack.Revision) {
+// completeWrite installs a view that is in the store and pushes it.
+func (c *Cell) completeWrite(h *holder, w *viewWrite, version bramleytack.Revision) {
 	c.mu.Lock()
 	current := c.holder == h
 	if current {
 		c.pending = nil
-		h.wrote(c.Timer.Now(), w.view, version)
-		c.member.version = max(c.member.version, version)
+		h.setWritten(c.Timer.Now(), w.view, version)
+		c.member.seenVersion = max(c.member.seenVersion, version)
 	}
 	c.mu.Unlock()
 	if !current {
@@ -195,11 +201,11 @@
 	}
 	c.retryAt = time.Time{}
 	c.install(w.view)
-	c.push(h, w.view)
+	c.pushView(h, w.view)
 }
 
-// push sends a view to its members and to those of earlier views.
-func (c *Cell) push(h *holder, v *View) {
+// pushView sends a view to its members and to those of earlier views.
+func (c *Cell) pushView(h *holder, v *View) {
 	c.mu.Lock()
 	m := &btwire.ViewPush{View: encodeView(c.Name, v), Acknowledgements: encodeAcks(h.acks())}
 	c.mu.Unlock()
@@ -233,31 +239,32 @@
 	}
 }
 
-// announce tells the members once that all acknowledgements of a view are
-// there, so that new owners need not wait for their next heartbeat.
-func (c *Cell) announce() bool {
+// announceAllAcked pushes the view once more when all members have acknowledged
+// it, so that new owners learn this before their next heartbeat. It reports
+// whether it did.
+func (c *Cell) announceAllAcked() bool {
 	c.mu.Lock()
 	h := c.holder
-	due := h.announce()
+	due := h.markAnnounced()
 	c.mu.Unlock()
 	if due {
-		c.push(h, h.view)
+		c.pushView(h, h.view)
 	}
 	return due
 }
 
-// settled reports whether the daemon, if it is the holder, has told all
-// members that its view is settled.
-func (c *Cell) settled() bool {
+// allAcksAnnounced reports whether all members have acknowledged the view and
+// this was announced. It is true if the daemon is not the holder.
+func (c *Cell) allAcksAnnounced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.holder == nil || c.holder.settled() && c.holder.announced == c.holder.view.Number
+	return c.holder == nil || c.holder.allAcked() && c.holder.announced == c.holder.view.Number
 }
 
-// readHosts looks for hosts that are gone while their acknowledgement is
-// missing.
-func (c *Cell) readHosts(ctx context.Context) {
-	if !c.hostsDue() {
+// readHostList reads the host list while acknowledgements are missing and records
+// which hosts of earlier views are no longer in it.
+func (c *Cell) readHostList(ctx context.Context) {
+	if !c.hostListDue() {
 		return
 	}
 	list, err := c.Store.Hosts(ctx)
@@ -275,18 +282,18 @@
 	}
 }
 
-func (c *Cell) hostsDue() bool {
+func (c *Cell) hostListDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Timer.Now()
-	if !c.holder.confirms() || now.Sub(c.hostsAt) < hostsPeriod || len(c.holder.acks().missing) == 0 {
+	if !c.holder.canConfirm() || now.Sub(c.hostsReadAt) < hostListPeriod || len(c.holder.acks().missing) == 0 {
 		return false
 	}
-	c.hostsAt = now
+	c.hostsReadAt = now
 	return true
 }
 
-// markGone records the hosts of earlier views that are not listed.
+// markGone records the hosts of earlier views whose addresses are not in listed.
 func (h *holder) markGone(listed map[netip.Addr]bool) {
 	gone := map[bramleytack.HostID]bool{}
 	for _, p := range h.view.Previous {
--- a/btview/links_test.go
+++ b/btview/links_test.go
@@ -20,9 +20,10 @@
 )
 
 // Guards against a cell that works over direct calls but not over links, and
-// against links whose silence costs members their place in the view.
+// against silent links that remove members from the view.
 func TestOverLinks(t *testing.T) {
-	// yamux pools timers, which must not pass from one bubble to the next.
+	// yamux pools timers. The garbage collector empties the pool, since a timer of
+	// one synctest bubble must not be used in another.
 	runtime.GC()
 	runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
--- a/btview/member.go
+++ b/btview/member.go
@@ -6,22 +6,24 @@
 	"bramleytack"
 )
 
-// Mode says how far an owner may grant reservations of an upstream.
+// Mode is the extent to which a daemon may grant reservations of an upstream.
 type Mode uint8
 
-// The modes. The zero value allows nothing.
+// The modes in rising order. The first three allow no grants.
 const (
-	// NotOwner means that another member owns the upstream, or none.
+	// NotOwner means that this daemon does not own the upstream.
 	NotOwner Mode = iota
-	// Waiting means that the old owner's grants may still be in use.
+	// Waiting means that the old owner may still grant, or that its grants may
+	// still be in use.
 	Waiting
-	// Isolated means that neither the store nor any peer can be reached.
+	// Isolated means that the view cannot be confirmed and that neither the store
+	// nor any peer has been reached for MemberTimeout.
 	Isolated
-	// Fallback means that the view cannot be confirmed: a warm upstream is
-	// served, a cold one gets half of its base limit, without a ramp.
+	// Fallback means that the view cannot be confirmed. A warm upstream is
+	// served; a cold one gets half of its base limit, without a ramp.
 	Fallback
-	// HalfWithheld means that half of the base limit of a cold upstream stays
-	// unused, since the old owner may serve it in Fallback.
+	// HalfWithheld means that half of the base limit of a cold upstream must stay
+	// unused, because the old owner may serve it in Fallback mode.
 	HalfWithheld
 	// Full means that the whole limit may be used.
 	Full
@@ -29,7 +31,7 @@
 
 var modeNames = [...]string{"notOwner", "waiting", "isolated", "fallback", "reserved", "full"}
 
-// String returns the name of the mode.
+// String returns the name of the mode, or "invalid".
 func (m Mode) String() string {
 	if int(m) < len(modeNames) {
 		return modeNames[m]
@@ -37,76 +39,84 @@
 	return "invalid"
 }
 
-// Permission is the answer of MayGrant.
+// Permission is the result of Cell.MayGrant.
 type Permission struct {
-	Mode       Mode
+	Mode Mode
+	// ViewNumber is the number of the view by which the Mode was determined.
 	ViewNumber uint64
-	// Left is the time that the view lease still lasts, or the wait when the
-	// mode is Waiting.
-	Left time.Duration
+	// Remaining is the remaining time of the wait in Waiting mode, otherwise that
+	// of the view lease.
+	Remaining time.Duration
 }
 
-// acks tells which members have not installed a view yet.
-type acks struct {
+// ackStatus is the holder's record of which members have not acknowledged the
+// view with a number.
+type ackStatus struct {
 	number  uint64
 	missing map[bramleytack.HostID]bool
-	gone    map[bramleytack.HostID]bool
+	// gone are hosts of earlier views that are not in the host list.
+	gone map[bramleytack.HostID]bool
 }
 
-// member is the state of one daemon as a member. All times are passed in.
-type member struct {
+// memberState is the state of a daemon as a member of the cell. It does no I/O and
+// reads no clock.
+type memberState struct {
 	self Member
 	view *View
-	// leaseStart is the sending of the heartbeat or the read that confirmed
-	// this or an earlier view. A lease of an earlier view ends before any
-	// owner of a later one stops waiting for this member.
+	// leaseStart is when the heartbeat or the read was sent that last confirmed
+	// this or an earlier view. A later view may take over the lease of an earlier
+	// one, because that lease ends before any owner in the later view stops
+	// waiting for this member.
 	leaseStart time.Time
-	confirmed  bool
-	// since holds when a view with a higher number was first seen, by the
-	// number of the earlier view.
-	since map[uint64]time.Time
-	// settled holds the numbers of earlier views that all their members left.
-	settled map[uint64]bool
-	acks    acks
-	// lastHeld is the last view that was confirmed.
-	lastHeld *View
-	// version is the newest version of the view object seen.
-	version bramleytack.Revision
-	// contact is the last answer of the store or a peer.
-	contact time.Time
-}
-
-// install takes a view if it is newer than the installed one.
-func (m *member) install(now time.Time, v *View) bool {
+	// confirmed is set when leaseStart is valid.
+	confirmed bool
+	// supersededSeenAt is when this member first saw a later view, by the number
+	// of the earlier one.
+	supersededSeenAt map[uint64]time.Time
+	// previousAcked holds the numbers of earlier views all of whose members have
+	// acknowledged a later view.
+	previousAcked map[uint64]bool
+	acks          ackStatus
+	// lastConfirmed is the last view that was confirmed.
+	lastConfirmed *View
+	// seenVersion is the newest version seen of the view object.
+	seenVersion bramleytack.Revision
+	// lastContact is the result of Cell.LastContact.
+	lastContact time.Time
+}
+
+// install installs a view if it is newer than the current one and reports whether
+// it did.
+func (m *memberState) install(now time.Time, v *View) bool {
 	if m.view != nil && v.Number <= m.view.Number {
 		return false
 	}
-	if m.since == nil {
-		m.since = map[uint64]time.Time{}
+	if m.supersededSeenAt == nil {
+		m.supersededSeenAt = map[uint64]time.Time{}
 	}
 	if m.view != nil {
-		m.mark(now, m.view.Number)
+		m.markSuperseded(now, m.view.Number)
 	}
 	for _, p := range v.Previous {
-		m.mark(now, p.Number)
+		m.markSuperseded(now, p.Number)
 	}
-	for number := range m.since {
-		if !listed(v, number) {
-			delete(m.since, number)
-			delete(m.settled, number)
+	for number := range m.supersededSeenAt {
+		if !hasPrevious(v, number) {
+			delete(m.supersededSeenAt, number)
+			delete(m.previousAcked, number)
 		}
 	}
 	m.view = v
 	return true
 }
 
-func (m *member) mark(now time.Time, number uint64) {
-	if _, ok := m.since[number]; !ok {
-		m.since[number] = now
+func (m *memberState) markSuperseded(now time.Time, number uint64) {
+	if _, ok := m.supersededSeenAt[number]; !ok {
+		m.supersededSeenAt[number] = now
 	}
 }
 
-func listed(v *View, number uint64) bool {
+func hasPrevious(v *View, number uint64) bool {
 	for _, p := range v.Previous {
 		if p.Number == number {
 			return true
@@ -115,22 +125,24 @@
 	return false
 }
 
-// confirm extends the view lease. Sent is when the heartbeat or the read that
-// proves the view was sent.
-func (m *member) confirm(sent time.Time, number uint64) {
+// confirm renews the view lease if the view with the number is installed and this
+// daemon is a member of it. sent is when the confirming heartbeat or read was
+// sent.
+func (m *memberState) confirm(sent time.Time, number uint64) {
 	if m.view == nil || m.view.Number != number {
 		return
 	}
-	if me, ok := m.view.Member(m.self.Host); !ok || !same(me, m.self) {
+	if me, ok := m.view.Member(m.self.Host); !ok || !sameIncarnation(me, m.self) {
 		return
 	}
 	if !m.confirmed || sent.After(m.leaseStart) {
 		m.confirmed, m.leaseStart = true, sent
 	}
-	m.lastHeld = m.view
+	m.lastConfirmed = m.view
 }
 
-func (m *member) acknowledged(a acks) {
+// setAcks records the acknowledgements of the installed view.
+func (m *memberState) setAcks(a ackStatus) {
 	if m.view == nil || a.number != m.view.Number {
 		return
 	}
@@ -139,97 +151,99 @@
 		if !m.allAcknowledged(&p) {
 			continue
 		}
-		if m.settled == nil {
-			m.settled = map[uint64]bool{}
+		if m.previousAcked == nil {
+			m.previousAcked = map[uint64]bool{}
 		}
-		m.settled[p.Number] = true
+		m.previousAcked[p.Number] = true
 	}
 }
 
-func (m *member) reached(now time.Time) {
-	if now.After(m.contact) {
-		m.contact = now
+func (m *memberState) recordContact(now time.Time) {
+	if now.After(m.lastContact) {
+		m.lastContact = now
 	}
 }
 
-// lease returns the remaining time of the view lease.
-func (m *member) lease(now time.Time) time.Duration {
+// leaseRemaining returns the remaining time of the view lease, or 0.
+func (m *memberState) leaseRemaining(now time.Time) time.Duration {
 	if !m.confirmed {
 		return 0
 	}
 	return max(0, LeaseDuration-now.Sub(m.leaseStart))
 }
 
-// mayGrant decides for one upstream. Left is the time that the view is
-// confirmed for.
-func (m *member) mayGrant(now time.Time, id bramleytack.UpstreamID, left time.Duration) Permission {
+// mayGrant implements Cell.MayGrant. remaining is the remaining time of the view
+// lease.
+func (m *memberState) mayGrant(now time.Time, id bramleytack.UpstreamID, remaining time.Duration) Permission {
 	if m.view == nil {
 		return Permission{}
 	}
-	if left <= 0 {
-		return m.unconfirmed(now, id)
+	if remaining <= 0 {
+		return m.unconfirmedPermission(now, id)
 	}
-	p := Permission{ViewNumber: m.view.Number, Left: left}
-	if o, ok := m.view.Owner(id); !ok || !same(o, m.self) {
+	p := Permission{ViewNumber: m.view.Number, Remaining: remaining}
+	if o, ok := m.view.Owner(id); !ok || !sameIncarnation(o, m.self) {
 		return p
 	}
 	p.Mode = Full
 	for i := range m.view.Previous {
-		mode, wait := m.after(now, id, &m.view.Previous[i])
-		if mode == Waiting && (p.Mode != Waiting || wait > p.Left) {
-			p.Left = wait
+		mode, wait := m.modeAfter(now, id, &m.view.Previous[i])
+		if mode == Waiting && (p.Mode != Waiting || wait > p.Remaining) {
+			p.Remaining = wait
 		}
 		p.Mode = min(p.Mode, mode)
 	}
 	return p
 }
 
-// after says what an earlier view leaves to this owner.
-func (m *member) after(now time.Time, id bramleytack.UpstreamID, prev *Previous) (Mode, time.Duration) {
+// modeAfter returns the mode to which an earlier view restricts this owner, and
+// the remaining time if that is Waiting.
+func (m *memberState) modeAfter(now time.Time, id bramleytack.UpstreamID, prev *Previous) (Mode, time.Duration) {
 	old, ok := owner(prev.Members, id)
-	if !ok || same(old, m.self) || m.settled[prev.Number] {
+	if !ok || sameIncarnation(old, m.self) || m.previousAcked[prev.Number] {
 		return Full, 0
 	}
-	passed := now.Sub(m.since[prev.Number])
-	if !prev.Expired && passed < SettleDuration {
-		return Waiting, SettleDuration - passed
+	elapsed := now.Sub(m.supersededSeenAt[prev.Number])
+	if !prev.Expired && elapsed < AckTimeout {
+		return Waiting, AckTimeout - elapsed
 	}
-	if passed < WithholdDuration && m.missing(old.Host) && !m.acks.gone[old.Host] {
+	if elapsed < WithholdDuration && m.ackMissing(old.Host) && !m.acks.gone[old.Host] {
 		return HalfWithheld, 0
 	}
 	return Full, 0
 }
 
-func (m *member) allAcknowledged(prev *Previous) bool {
+func (m *memberState) allAcknowledged(prev *Previous) bool {
 	for _, p := range prev.Members {
-		if m.missing(p.Host) {
+		if m.ackMissing(p.Host) {
 			return false
 		}
 	}
 	return true
 }
 
-// missing reports whether a host has not acknowledged the installed view.
-// Without word from the holder nobody has.
-func (m *member) missing(host bramleytack.HostID) bool {
+// ackMissing reports whether a host has not acknowledged the installed view. Until
+// the holder sends the acknowledgements, all but this host's count as missing.
+func (m *memberState) ackMissing(host bramleytack.HostID) bool {
 	if host == m.self.Host {
 		return false
 	}
 	return m.acks.number != m.view.Number || m.acks.missing[host]
 }
 
-// unconfirmed decides without a view lease, by the last view held.
-func (m *member) unconfirmed(now time.Time, id bramleytack.UpstreamID) Permission {
-	if m.lastHeld == nil {
+// unconfirmedPermission returns the permission without a view lease. It depends on
+// the last confirmed view.
+func (m *memberState) unconfirmedPermission(now time.Time, id bramleytack.UpstreamID) Permission {
+	if m.lastConfirmed == nil {
 		return Permission{ViewNumber: m.view.Number}
 	}
-	p := Permission{ViewNumber: m.lastHeld.Number}
-	o, ok := m.lastHeld.Owner(id)
+	p := Permission{ViewNumber: m.lastConfirmed.Number}
+	o, ok := m.lastConfirmed.Owner(id)
 	switch {
-	case !ok || !same(o, m.self):
-	case m.lastHeld != m.view && !m.owns(id):
-		// The member has seen a view that gives the upstream to another.
-	case now.Sub(m.contact) >= SilenceLimit:
+	case !ok || !sameIncarnation(o, m.self):
+	case m.lastConfirmed != m.view && !m.owns(id):
+		// A later view has another owner.
+	case now.Sub(m.lastContact) >= MemberTimeout:
 		p.Mode = Isolated
 	default:
 		p.Mode = Fallback
@@ -237,7 +251,7 @@
 	return p
 }
 
-func (m *member) owns(id bramleytack.UpstreamID) bool {
+func (m *memberState) owns(id bramleytack.UpstreamID) bool {
 	o, ok := m.view.Owner(id)
-	return ok && same(o, m.self)
+	return ok && sameIncarnation(o, m.self)
 }
--- a/btview/member_test.go
+++ b/btview/member_test.go
@@ -9,7 +9,8 @@
 	"bramleytack"
 )
 
-// Guards against owners that start too early, or too late, after a change.
+// Guards against a new owner that grants too early or too late after a change of
+// the view.
 func TestMayGrant(t *testing.T) {
 	const id bramleytack.UpstreamID = "u"
 	list := members(3)
@@ -23,52 +24,52 @@
 		}
 	}
 	old, _ := owner(others, id)
-	entry := others[0]
-	if entry == old {
-		entry = others[1]
+	nonOwner := others[0]
+	if nonOwner == old {
+		nonOwner = others[1]
 	}
-	now := append([]Member{self}, others...)
-	missing := func(hosts ...bramleytack.HostID) *acks {
-		a := &acks{number: 2, missing: map[bramleytack.HostID]bool{}}
+	current := append([]Member{self}, others...)
+	acksWithout := func(hosts ...bramleytack.HostID) *ackStatus {
+		a := &ackStatus{number: 2, missing: map[bramleytack.HostID]bool{}}
 		for _, h := range hosts {
 			a.missing[h] = true
 		}
 		return a
 	}
-	gone := missing(old.Host)
-	gone.gone = map[bramleytack.HostID]bool{old.Host: true}
+	oldGone := acksWithout(old.Host)
+	oldGone.gone = map[bramleytack.HostID]bool{old.Host: true}
 	table := []struct {
 		name string
 		prev Previous
-		acks *acks
+		acks *ackStatus
 		age  time.Duration
 		want Mode
 	}{
-		{"no word from the holder", Previous{Number: 1, Members: others}, nil, 0, Waiting},
-		{"old owner missing", Previous{Number: 1, Members: others}, missing(old.Host), SettleDuration - 1, Waiting},
-		{"old owner missing for long", Previous{Number: 1, Members: others}, missing(old.Host), SettleDuration, HalfWithheld},
-		{"old owner missing for very long", Previous{Number: 1, Members: others}, missing(old.Host), WithholdDuration, Full},
-		{"old owner gone from the host list", Previous{Number: 1, Members: others}, gone, SettleDuration, Full},
-		{"the host list does not shorten the wait", Previous{Number: 1, Members: others}, gone, time.Second, Waiting},
-		{"an entry missing", Previous{Number: 1, Members: others}, missing(entry.Host), time.Second, Waiting},
-		{"an entry missing for long", Previous{Number: 1, Members: others}, missing(entry.Host), SettleDuration, Full},
-		{"all acknowledged", Previous{Number: 1, Members: others}, missing(), 0, Full},
-		{"expired view", Previous{Number: 1, Members: others, Expired: true}, missing(old.Host), 0, HalfWithheld},
-		{"own earlier run", Previous{Number: 1, Members: list}, nil, time.Second, Waiting},
-		{"own run", Previous{Number: 1, Members: now}, nil, 0, Full},
+		{"no acknowledgements from the holder yet", Previous{Number: 1, Members: others}, nil, 0, Waiting},
+		{"the old owner has not acknowledged", Previous{Number: 1, Members: others}, acksWithout(old.Host), AckTimeout - 1, Waiting},
+		{"the old owner has not acknowledged within AckTimeout", Previous{Number: 1, Members: others}, acksWithout(old.Host), AckTimeout, HalfWithheld},
+		{"the old owner has not acknowledged within WithholdDuration", Previous{Number: 1, Members: others}, acksWithout(old.Host), WithholdDuration, Full},
+		{"the old owner is not in the host list", Previous{Number: 1, Members: others}, oldGone, AckTimeout, Full},
+		{"the host list does not shorten the wait", Previous{Number: 1, Members: others}, oldGone, time.Second, Waiting},
+		{"another member has not acknowledged", Previous{Number: 1, Members: others}, acksWithout(nonOwner.Host), time.Second, Waiting},
+		{"another member has not acknowledged within AckTimeout", Previous{Number: 1, Members: others}, acksWithout(nonOwner.Host), AckTimeout, Full},
+		{"all acknowledged", Previous{Number: 1, Members: others}, acksWithout(), 0, Full},
+		{"the earlier view has expired", Previous{Number: 1, Members: others, Expired: true}, acksWithout(old.Host), 0, HalfWithheld},
+		{"the old owner is an earlier incarnation of this daemon", Previous{Number: 1, Members: list}, nil, time.Second, Waiting},
+		{"the old owner is this incarnation", Previous{Number: 1, Members: current}, nil, 0, Full},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			start := time.Now()
-			m := &member{self: self}
-			m.install(start, &View{Number: 2, Members: now, Previous: []Previous{row.prev}})
+			m := &memberState{self: self}
+			m.install(start, &View{Number: 2, Members: current, Previous: []Previous{row.prev}})
 			if row.acks != nil {
-				m.acknowledged(*row.acks)
+				m.setAcks(*row.acks)
 			}
 			at := start.Add(row.age)
 			m.confirm(at, 2)
-			assert.Equal(t, m.mayGrant(at, id, m.lease(at)).Mode, row.want)
-			assert.Equal(t, m.mayGrant(at, id, m.lease(at.Add(LeaseDuration))).Mode, Isolated)
+			assert.Equal(t, m.mayGrant(at, id, m.leaseRemaining(at)).Mode, row.want)
+			assert.Equal(t, m.mayGrant(at, id, m.leaseRemaining(at.Add(LeaseDuration))).Mode, Isolated)
 		})
 	}
 }
--- a/btview/sim_test.go
+++ b/btview/sim_test.go
@@ -18,12 +18,13 @@
 	"bramleytack/internal/btmemstore"
 )
 
-// path is one direction between two hosts. The host "store" is the store.
+// path is one direction between two hosts, or between a host and storeHost.
 type path struct{ from, to bramleytack.HostID }
 
 const storeHost bramleytack.HostID = "store"
 
-// network connects cells by direct calls. It drops, delays and holds messages.
+// network connects cells by direct calls. It can delay messages, block paths and
+// pause hosts.
 type network struct {
 	mu      sync.Mutex
 	cells   map[bramleytack.HostID]*Cell
@@ -32,10 +33,10 @@
 	delay   time.Duration
 }
 
-// pass takes a message one way. It hangs while a host is paused and until the
-// deadline when the path is blocked.
-func (n *network) pass(ctx context.Context, from, to bramleytack.HostID) error {
-	n.hold(from)
+// deliver simulates the way of one message. It waits while the sender is paused.
+// If the path is blocked or the receiver stays paused, it returns when ctx ends.
+func (n *network) deliver(ctx context.Context, from, to bramleytack.HostID) error {
+	n.waitWhilePaused(from)
 	n.mu.Lock()
 	blocked, delay := n.blocked[path{from, to}], n.delay
 	n.mu.Unlock()
@@ -46,18 +47,18 @@
 		<-ctx.Done()
 	}
 	n.mu.Lock()
-	held := n.paused[to]
+	paused := n.paused[to]
 	n.mu.Unlock()
-	if held != nil {
+	if paused != nil {
 		select {
-		case <-held:
+		case <-paused:
 		case <-ctx.Done():
 		}
 	}
 	return ctx.Err()
 }
 
-func (n *network) hold(host bramleytack.HostID) {
+func (n *network) waitWhilePaused(host bramleytack.HostID) {
 	n.mu.Lock()
 	c := n.paused[host]
 	n.mu.Unlock()
@@ -95,17 +96,17 @@
 	return n.cells[host]
 }
 
-// port is a host's Transport.
-type port struct {
+// simTransport is a host's Transport.
+type simTransport struct {
 	*network
 	host bramleytack.HostID
 }
 
 func exchange[Req, Resp any](
-	ctx context.Context, p port, to bramleytack.HostID, r *Req,
+	ctx context.Context, p simTransport, to bramleytack.HostID, r *Req,
 	f func(*Cell) func(context.Context, bramleytack.HostID, *Req) (*Resp, error),
 ) (*Resp, error) {
-	if err := p.pass(ctx, p.host, to); err != nil {
+	if err := p.deliver(ctx, p.host, to); err != nil {
 		return nil, err
 	}
 	c := p.cell(to)
@@ -113,86 +114,88 @@
 		return nil, bramleytack.ErrNotFound
 	}
 	resp, err := f(c)(ctx, p.host, r)
-	if err := p.pass(ctx, to, p.host); err != nil {
+	if err := p.deliver(ctx, to, p.host); err != nil {
 		return nil, err
 	}
 	return resp, err
 }
 
-func (p port) Heartbeat(ctx context.Context, to bramleytack.HostID, m *btwire.Heartbeat) (*btwire.HeartbeatReply, error) {
+func (p simTransport) Heartbeat(ctx context.Context, to bramleytack.HostID, m *btwire.Heartbeat) (*btwire.HeartbeatReply, error) {
 	return exchange(ctx, p, to, m, func(c *Cell) func(context.Context, bramleytack.HostID, *btwire.Heartbeat) (*btwire.HeartbeatReply, error) {
 		return c.HandleHeartbeat
 	})
 }
 
-func (p port) Push(ctx context.Context, to bramleytack.HostID, m *btwire.ViewPush) (*btwire.ViewAck, error) {
+func (p simTransport) Push(ctx context.Context, to bramleytack.HostID, m *btwire.ViewPush) (*btwire.ViewAck, error) {
 	return exchange(ctx, p, to, m, func(c *Cell) func(context.Context, bramleytack.HostID, *btwire.ViewPush) (*btwire.ViewAck, error) {
 		return c.HandlePush
 	})
 }
 
-func (p port) State(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error) {
+func (p simTransport) AnnounceLeaving(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error) {
 	return exchange(ctx, p, to, m, func(c *Cell) func(context.Context, bramleytack.HostID, *btwire.EntryState) (*btwire.EntryStateReply, error) {
-		return c.HandleState
+		return c.HandleLeaving
 	})
 }
 
-func (port) SetPeer(bramleytack.HostID, netip.AddrPort) {}
+func (simTransport) SetPeer(bramleytack.HostID, netip.AddrPort) {}
 
-func (port) RemovePeer(bramleytack.HostID) {}
+func (simTransport) RemovePeer(bramleytack.HostID) {}
 
-func (port) Redial(bramleytack.HostID) {}
+func (simTransport) Redial(bramleytack.HostID) {}
 
-// storePort is a host's way to the store.
-type storePort struct {
+// simStore is the store as one host reaches it over the network.
+type simStore struct {
 	*btmemstore.Store
-	port
+	simTransport
 }
 
-func (s storePort) Get(ctx context.Context, k bramleytack.Key) (bramleytack.Object, error) {
-	if s.pass(ctx, s.host, storeHost) != nil {
+func (s simStore) Get(ctx context.Context, k bramleytack.Key) (bramleytack.Object, error) {
+	if s.deliver(ctx, s.host, storeHost) != nil {
 		return bramleytack.Object{}, bramleytack.ErrStoreDown
 	}
 	o, err := s.Store.Get(ctx, k)
-	if s.pass(ctx, storeHost, s.host) != nil {
+	if s.deliver(ctx, storeHost, s.host) != nil {
 		return bramleytack.Object{}, bramleytack.ErrStoreDown
 	}
 	return o, err
 }
 
-func (s storePort) Put(ctx context.Context, o bramleytack.Object, v bramleytack.Revision) (bramleytack.Revision, error) {
-	if s.pass(ctx, s.host, storeHost) != nil {
+func (s simStore) Put(ctx context.Context, o bramleytack.Object, v bramleytack.Revision) (bramleytack.Revision, error) {
+	if s.deliver(ctx, s.host, storeHost) != nil {
 		return 0, bramleytack.ErrStoreDown
 	}
 	rev, err := s.Store.Put(ctx, o, v)
-	if s.pass(ctx, storeHost, s.host) != nil {
+	if s.deliver(ctx, storeHost, s.host) != nil {
 		return 0, bramleytack.ErrStoreUnknown
 	}
 	return rev, err
 }
 
-// grants says when and in which view a host could last grant an upstream.
-type grants struct {
+// lastGrant is when, and in which view, a host could last grant an upstream.
+type lastGrant struct {
 	at   time.Time
 	view uint64
 }
 
 type sim struct {
-	t         *testing.T
-	store     *btmemstore.Store
-	network   *network
-	timers    *bttimer.Service
-	hosts     []bramleytack.HostID
-	stops     map[bramleytack.HostID]func()
-	upstreams []bramleytack.UpstreamID
-	last      map[bramleytack.UpstreamID]map[bramleytack.HostID]grants
-	// acked holds the newest view that a host had, which outlives the host.
-	acked map[bramleytack.HostID]uint64
-	// staleReads allows a pair of Full and HalfWithheld: see the faults.
-	staleReads bool
-	starts     uint64
-	// worst is the longest time for which an upstream had no owner that granted.
-	missing, worst map[bramleytack.UpstreamID]time.Duration
+	t          *testing.T
+	store      *btmemstore.Store
+	network    *network
+	timers     *bttimer.Service
+	hosts      []bramleytack.HostID
+	stops      map[bramleytack.HostID]func()
+	upstreams  []bramleytack.UpstreamID
+	lastGrants map[bramleytack.UpstreamID]map[bramleytack.HostID]lastGrant
+	// ackedView is the newest view that a host had installed. It is kept when the
+	// host stops.
+	ackedView map[bramleytack.HostID]uint64
+	// staleReads allows one owner to be Full and another HalfWithheld; see faults.
+	staleReads   bool
+	incarnations uint64
+	// ownerless is for how long an upstream has had no owner that may grant it.
+	// longestOwnerless is the longest such time so far.
+	ownerless, longestOwnerless map[bramleytack.UpstreamID]time.Duration
 }
 
 func newSim(t *testing.T, hosts, upstreams int, seed uint64) *sim {
@@ -202,16 +205,16 @@
 			cells: map[bramleytack.HostID]*Cell{}, blocked: map[path]bool{},
 			paused: map[bramleytack.HostID]chan struct{}{},
 		},
-		stops:   map[bramleytack.HostID]func(){},
-		last:    map[bramleytack.UpstreamID]map[bramleytack.HostID]grants{},
-		acked:   map[bramleytack.HostID]uint64{},
-		missing: map[bramleytack.UpstreamID]time.Duration{},
-		worst:   map[bramleytack.UpstreamID]time.Duration{},
+		stops:            map[bramleytack.HostID]func(){},
+		lastGrants:       map[bramleytack.UpstreamID]map[bramleytack.HostID]lastGrant{},
+		ackedView:        map[bramleytack.HostID]uint64{},
+		ownerless:        map[bramleytack.UpstreamID]time.Duration{},
+		longestOwnerless: map[bramleytack.UpstreamID]time.Duration{},
 	}
 	for i := range upstreams {
 		id := bramleytack.UpstreamID(fmt.Sprintf("u%d", i))
 		s.upstreams = append(s.upstreams, id)
-		s.last[id] = map[bramleytack.HostID]grants{}
+		s.lastGrants[id] = map[bramleytack.HostID]lastGrant{}
 	}
 	for i := range hosts {
 		h := bramleytack.HostID(fmt.Sprintf("h%d", i))
@@ -237,14 +240,14 @@
 	if s.stops[h] != nil {
 		return
 	}
-	s.starts++
+	s.incarnations++
 	ctx, cancel := context.WithCancel(context.Background())
-	p := port{s.network, h}
-	st := storePort{s.store, p}
+	p := simTransport{s.network, h}
+	st := simStore{s.store, p}
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, h[1]}), 7)
 	l := &btlease.Lease{Store: st, Timer: s.timers, Cell: "c", Host: h, PeerAddr: addr}
 	c := &Cell{
-		Name: "c", Self: Member{Host: h, Incarnation: s.starts, PeerAddr: addr},
+		Name: "c", Self: Member{Host: h, Incarnation: s.incarnations, PeerAddr: addr},
 		Lease: l, Store: st, Timer: s.timers, Transport: p,
 	}
 	s.network.mu.Lock()
@@ -259,7 +262,7 @@
 	}
 }
 
-// stop ends a daemon without any farewell.
+// stop ends a daemon, which does not leave the cell first.
 func (s *sim) stop(h bramleytack.HostID) {
 	stop := s.stops[h]
 	if stop == nil {
@@ -285,17 +288,17 @@
 	return ""
 }
 
-const sample = 50 * time.Millisecond
+const sampleInterval = 50 * time.Millisecond
 
-// watch lets time pass and checks all permissions.
+// watch checks the permissions of all hosts every sampleInterval for a duration.
 func (s *sim) watch(d time.Duration) {
 	s.t.Helper()
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(sample) {
-		// All permissions are taken at one point between the hosts' steps.
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(sampleInterval) {
+		// Once all goroutines are blocked, the permissions are of the same moment.
 		synctest.Wait()
 		for _, h := range s.hosts {
 			if c := s.network.cell(h); c != nil && c.View() != nil {
-				s.acked[h] = max(s.acked[h], c.View().Number)
+				s.ackedView[h] = max(s.ackedView[h], c.View().Number)
 			}
 		}
 		for _, id := range s.upstreams {
@@ -304,9 +307,9 @@
 	}
 }
 
-// check fails the test when two hosts may grant an upstream at full limit, or
-// when a host may while another's grants are in use and the other has not
-// acknowledged a view later than that of its grants.
+// check fails the test if two hosts may grant an upstream, apart from Fallback
+// mode. It also fails the test if a host may grant while another's grants are
+// valid and the other has not installed a view later than that of its grants.
 func (s *sim) check(id bramleytack.UpstreamID) {
 	s.t.Helper()
 	now := time.Now()
@@ -324,27 +327,31 @@
 			s.t.Fatalf("%s: %s and %s may grant at the same instant", id, granting, h)
 		}
 		granting = h
-		s.checkHandover(id, h, p, now)
-		s.last[id][h] = grants{now, p.ViewNumber}
+		s.checkGrantsExpired(id, h, p, now)
+		s.lastGrants[id][h] = lastGrant{now, p.ViewNumber}
 	}
 	if granting != "" {
-		s.missing[id] = 0
+		s.ownerless[id] = 0
 		return
 	}
-	s.missing[id] += sample
-	s.worst[id] = max(s.worst[id], s.missing[id])
+	s.ownerless[id] += sampleInterval
+	s.longestOwnerless[id] = max(s.longestOwnerless[id], s.ownerless[id])
 }
 
-func (s *sim) checkHandover(id bramleytack.UpstreamID, h bramleytack.HostID, p Permission, now time.Time) {
+// checkGrantsExpired fails the test if another host than h may still have valid
+// grants of an upstream, unless it has installed a later view since.
+func (s *sim) checkGrantsExpired(id bramleytack.UpstreamID, h bramleytack.HostID, p Permission, now time.Time) {
 	s.t.Helper()
-	for other, g := range s.last[id] {
-		if other != h && now.Sub(g.at) < GrantValidity && s.acked[other] <= g.view {
+	for other, g := range s.lastGrants[id] {
+		if other != h && now.Sub(g.at) < GrantValidity && s.ackedView[other] <= g.view {
 			s.t.Fatalf("%s: %s may grant in view %d while grants of %s are in use", id, h, p.ViewNumber, other)
 		}
 	}
 }
 
-func (s *sim) assertSettled() {
+// assertRecovered checks that all hosts are members of the same view and that each
+// upstream has an owner in Full mode.
+func (s *sim) assertRecovered() {
 	s.t.Helper()
 	var number uint64
 	for _, h := range s.hosts {
--- a/btview/transport.go
+++ b/btview/transport.go
@@ -12,41 +12,41 @@
 	"bramleytack/btwire"
 )
 
-// Transport sends messages to peers. PeerTransport is the Transport over btpeer.
+// Transport sends messages to peers. PeerTransport implements it over btpeer.
 type Transport interface {
 	Heartbeat(ctx context.Context, to bramleytack.HostID, m *btwire.Heartbeat) (*btwire.HeartbeatReply, error)
 	Push(ctx context.Context, to bramleytack.HostID, m *btwire.ViewPush) (*btwire.ViewAck, error)
-	State(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error)
-	// SetPeer makes the address of a peer known.
+	AnnounceLeaving(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error)
+	// SetPeer adds a peer or changes its address.
 	SetPeer(host bramleytack.HostID, addr netip.AddrPort)
 	RemovePeer(host bramleytack.HostID)
-	// Redial replaces the link to a peer that does not answer.
+	// Redial replaces the link to a peer that does not reply.
 	Redial(host bramleytack.HostID)
 }
 
-// PeerTransport is the Transport over the links of a node.
+// PeerTransport is the Transport over the links of a btpeer.Node.
 type PeerTransport struct{ *btpeer.Node }
 
-// Heartbeat sends a heartbeat.
+// Heartbeat sends a heartbeat and returns the reply.
 func (p PeerTransport) Heartbeat(ctx context.Context, to bramleytack.HostID, m *btwire.Heartbeat) (*btwire.HeartbeatReply, error) {
 	return btpeer.Call[btwire.Heartbeat, btwire.HeartbeatReply](ctx, p.Node, to, m)
 }
 
-// Push sends a view.
+// Push sends a view and returns the acknowledgement.
 func (p PeerTransport) Push(ctx context.Context, to bramleytack.HostID, m *btwire.ViewPush) (*btwire.ViewAck, error) {
 	return btpeer.Call[btwire.ViewPush, btwire.ViewAck](ctx, p.Node, to, m)
 }
 
-// State announces that a daemon is leaving.
-func (p PeerTransport) State(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error) {
+// AnnounceLeaving announces that a daemon is leaving.
+func (p PeerTransport) AnnounceLeaving(ctx context.Context, to bramleytack.HostID, m *btwire.EntryState) (*btwire.EntryStateReply, error) {
 	return btpeer.Call[btwire.EntryState, btwire.EntryStateReply](ctx, p.Node, to, m)
 }
 
-// Register makes the cell handle the messages of its peers.
+// Register registers the cell's handlers for the messages of its peers.
 func Register(mux *btpeer.Mux, c *Cell) {
 	btpeer.Handle(mux, c.HandleHeartbeat)
 	btpeer.Handle(mux, c.HandlePush)
-	btpeer.Handle(mux, c.HandleState)
+	btpeer.Handle(mux, c.HandleLeaving)
 }
 
 func encodeMember(m Member) *btwire.Member {
@@ -59,7 +59,7 @@
 func decodeMember(m *btwire.Member) (Member, error) {
 	addr, err := netip.ParseAddrPort(m.GetPeerAddr())
 	if err != nil {
-		return Member{}, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "member has no peer address").WithCause(err)
+		return Member{}, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "member has no valid peer address").WithCause(err)
 	}
 	return Member{
 		Host: bramleytack.HostID(m.GetHost()), Incarnation: m.GetIncarnation(),
@@ -119,7 +119,7 @@
 	return v, nil
 }
 
-func encodeAcks(a acks) *btwire.Acknowledgements {
+func encodeAcks(a ackStatus) *btwire.Acknowledgements {
 	w := &btwire.Acknowledgements{ViewNumber: a.number}
 	for host := range a.missing {
 		w.Missing = append(w.Missing, string(host))
@@ -130,8 +130,8 @@
 	return w
 }
 
-func decodeAcks(w *btwire.Acknowledgements) acks {
-	a := acks{number: w.GetViewNumber(), missing: map[bramleytack.HostID]bool{}, gone: map[bramleytack.HostID]bool{}}
+func decodeAcks(w *btwire.Acknowledgements) ackStatus {
+	a := ackStatus{number: w.GetViewNumber(), missing: map[bramleytack.HostID]bool{}, gone: map[bramleytack.HostID]bool{}}
 	for _, host := range w.GetMissing() {
 		a.missing[bramleytack.HostID(host)] = true
 	}
--- a/btview/view.go
+++ b/btview/view.go
@@ -10,10 +10,10 @@
 	"bramleytack"
 )
 
-// Kind is the kind of view objects in the store.
+// Kind is the kind of view objects in the store. There is one for each cell.
 const Kind = "view"
 
-// Member is a daemon of a cell.
+// Member is one incarnation of a daemon that belongs to a cell.
 type Member struct {
 	Host bramleytack.HostID `json:"host"`
 	// Incarnation changes with each start of the daemon.
@@ -22,7 +22,7 @@
 	FailureDomain bramleytack.FailureDomainID `json:"failureDomain"`
 }
 
-// Previous is an earlier view whose members may not all have left it.
+// Previous is an earlier view that some of its members may still use.
 type Previous struct {
 	Number  uint64   `json:"number"`
 	Members []Member `json:"members"`
@@ -30,27 +30,32 @@
 	Expired bool `json:"expired,omitempty"`
 }
 
-// View is the membership of a cell under one number. It is immutable.
+// View is a numbered state of the membership of a cell. It is immutable.
 type View struct {
-	Number   uint64             `json:"number"`
-	Fence    bramleytack.Fence  `json:"fence"`
-	Holder   bramleytack.HostID `json:"holder"`
-	Members  []Member           `json:"members"`
-	Previous []Previous         `json:"previous,omitempty"`
+	// Number is 1 for the first view of the cell and grows by 1.
+	Number uint64            `json:"number"`
+	Fence  bramleytack.Fence `json:"fence"`
+	// Holder held the lease when it wrote the view.
+	Holder bramleytack.HostID `json:"holder"`
+	// Members are sorted by host id.
+	Members []Member `json:"members"`
+	// Previous are sorted by number.
+	Previous []Previous `json:"previous,omitempty"`
 }
 
-// Member returns the member with a host id.
+// Member returns the member on a host, or false if there is none.
 func (v *View) Member(host bramleytack.HostID) (Member, bool) {
-	return find(v.Members, host)
+	return findMember(v.Members, host)
 }
 
-// Owner returns the member that owns an upstream.
+// Owner returns the member that owns an upstream, or false if the view has no
+// members.
 func (v *View) Owner(id bramleytack.UpstreamID) (Member, bool) {
 	return owner(v.Members, id)
 }
 
-// Watchers returns the hosts that watch the configuration: the coordinator and
-// one deputy, the first other member by id.
+// Watchers returns the hosts that watch the configuration in the store: the
+// holder and the first other member by host id.
 func (v *View) Watchers() []bramleytack.HostID {
 	hosts := []bramleytack.HostID{v.Holder}
 	for _, m := range v.Members {
@@ -61,7 +66,8 @@
 	return hosts
 }
 
-// owner returns the member with the highest hash of upstream and host.
+// owner returns the member with the highest hash of upstream and host. Of equal
+// hashes the lower host id wins, so the order of members does not matter.
 func owner(members []Member, id bramleytack.UpstreamID) (Member, bool) {
 	var best Member
 	var top uint64
@@ -78,13 +84,13 @@
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(id))
-	// The separator keeps neighbouring parts from running together.
+	// The separator keeps ("ab", "c") and ("a", "bc") apart.
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(string(host))
 	return d.Sum64()
 }
 
-func find(members []Member, host bramleytack.HostID) (Member, bool) {
+func findMember(members []Member, host bramleytack.HostID) (Member, bool) {
 	for _, m := range members {
 		if m.Host == host {
 			return m, true
@@ -93,8 +99,9 @@
 	return Member{}, false
 }
 
-// same reports whether two members are the same run of the same daemon.
-func same(a, b Member) bool { return a.Host == b.Host && a.Incarnation == b.Incarnation }
+// sameIncarnation reports whether two members are the same start of the same
+// daemon.
+func sameIncarnation(a, b Member) bool { return a.Host == b.Host && a.Incarnation == b.Incarnation }
 
 func sortMembers(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(string(a.Host), string(b.Host)) })
--- a/btview/view_test.go
+++ b/btview/view_test.go
@@ -29,9 +29,9 @@
 	return bramleytack.UpstreamID(fmt.Sprintf("%s-%d", prefix, i))
 }
 
-// Guards against a hash that moves upstreams between members that stay, or
-// that depends on the order of members.
-func TestOwnerMovesLittle(t *testing.T) {
+// Guards against an owner that changes although only another member left, or that
+// depends on the order of members.
+func TestOwnerStaysWhenAnotherLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := members(rapid.IntRange(2, 32).Draw(t, "members"))
 		prefix := rapid.String().Draw(t, "prefix")
@@ -56,7 +56,8 @@
 	})
 }
 
-// Guards against members that own far more than their share.
+// Guards against members that own more than twice or less than half of their
+// share of the upstreams.
 func TestOwnerBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const perMember = 200
@@ -74,7 +75,7 @@
 	})
 }
 
-// Guards against views that lose fields on their way to a member.
+// Guards against fields of a view that are lost in encoding.
 func TestViewEncoding(t *testing.T) {
 	v := &View{Number: 3, Fence: 2, Holder: "host-0", Members: members(3)}
 	for i := range v.Members {
