--- a/btlease/machine.go
+++ b/btlease/machine.go
@@ -18,7 +18,8 @@
 	// WaitDuration is how long a candidate must see the same version before it
 	// may acquire the lease. The margin covers clocks that differ in rate by 1%.
 	WaitDuration = Duration + Duration/100
-	// retryPeriod is the shortest time between a failed store call and the next.
+	// retryPeriod delays the next store call after a failed or stale one. A write
+	// with an unknown outcome is followed by a read at once.
 	retryPeriod = 500 * time.Millisecond
 	// pollPeriod is the shortest time between a read and one that RequestRead
 	// asks for.
--- a/btview/cell.go
+++ b/btview/cell.go
@@ -16,9 +16,8 @@
 )
 
 // Cell is one daemon's participation in the membership of its cell. The exported
-// fields must be set before the first call and not changed afterwards; only the
-// fields that may be nil are optional. Run is called once; the other methods are
-// safe for concurrent use.
+// fields must be set before the first call and not changed afterwards. Run is
+// called once; the other methods are safe for concurrent use.
 type Cell struct {
 	Name      bramleytack.CellID
 	Self      Member
--- a/btview/heartbeat.go
+++ b/btview/heartbeat.go
@@ -191,9 +191,9 @@
 	return redirected
 }
 
-// HandleHeartbeat replies to a member's heartbeat. If this daemon is the holder,
-// the reply has a view lease, and the view if the member has an older one. If
-// not, it names the holder.
+// HandleHeartbeat replies to a member's heartbeat. The reply names the holder. If
+// that is this daemon, the reply also has a view lease, except while a view is
+// being written, and the view if the member has an older one.
 func (c *Cell) HandleHeartbeat(_ context.Context, from bramleytack.HostID, hb *btwire.Heartbeat) (*btwire.HeartbeatReply, error) {
 	m, err := c.checkSender(from, hb.GetCell(), hb.GetMember())
 	if err != nil {
--- a/btview/holder.go
+++ b/btview/holder.go
@@ -146,7 +146,7 @@
 
 // previousViews returns the earlier views that a new owner has to take into
 // account, and the current one. It omits views that were superseded at least
-// WithholdDuration ago or that all their members have left.
+// WithholdDuration ago or whose members have all acknowledged the current one.
 func (h *holder) previousViews(now time.Time) []Previous {
 	var list []Previous
 	for _, p := range h.view.Previous {
--- a/btview/times.go
+++ b/btview/times.go
@@ -40,8 +40,8 @@
 	tickPeriod = 100 * time.Millisecond
 	// callTimeout bounds a call of a peer or of the store.
 	callTimeout = time.Second
-	// retryPeriod is the shortest time between a failed store call of the holder
-	// and the next.
+	// retryPeriod is the shortest time from the start of a store call of the
+	// holder that failed to its next step.
 	retryPeriod = 300 * time.Millisecond
 	// minTermAge is how long a holder must have held the lease before it
 	// attributes the silence of most members to its own links.
