--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -164,7 +164,7 @@
 func (d *Daemon) state() btremote.State {
 	st := btremote.State{
 		Host: d.settings.Host, EntryAddr: d.settings.Listen, AdminAddr: d.settings.AdminListen,
-		FailureDomain: d.settings.FailureDomain, Draining: d.draining.Load(), Config: d.config.Digest(), Streams: d.front.Streams(),
+		FailureDomain: d.settings.FailureDomain, Draining: d.draining.Load(), Config: d.config.Digest(), Streams: d.front.OpenStreams(),
 		Cell: d.settings.Cell, Ready: d.Ready(), Queued: d.queue.Waiting(), Uptime: d.timers.Now().Sub(d.started).Round(time.Second).String(),
 	}
 	if v := d.cluster.cell.View(); v != nil {
@@ -173,7 +173,7 @@
 	return st
 }
 
-// Entries implements btfront.Entries: the members that are ready and whose
+// Entries implements btfront.EntryLister: the members that are ready and whose
 // failure domain is in service. If there are none, it lists all that are not
 // draining.
 func (d *Daemon) Entries() ([]netip.AddrPort, time.Duration) {
--- a/btdaemon/daemon.go
+++ b/btdaemon/daemon.go
@@ -215,7 +215,7 @@
 // drain leaves the entry list, waits for the callers that still use it, lets
 // the requests in flight end and gives up the roles.
 func (d *Daemon) drain(ctx context.Context, servers []*http.Server) {
-	d.log.Event(btevent.ProcessDraining).Int("streams", d.front.Streams()).Send()
+	d.log.Event(btevent.ProcessDraining).Int("streams", d.front.OpenStreams()).Send()
 	d.draining.Store(true)
 	// The other members hear of it by their next exchange, and the lists that
 	// they gave out until then stay in use for their validity.
--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -69,7 +69,7 @@
 		&btquarantine.Tracker{Table: d.suspects},
 	)
 	d.front = &btfront.Front{
-		Path: path, Timer: d.timers, Entries: d, MaxBody: s.Limits.MaxBody, MaxHeader: s.Limits.MaxHeader, Failed: d.requestFailed,
+		RequestHandler: path, Timer: d.timers, Entries: d, MaxBody: s.Limits.MaxBody, MaxHeader: s.Limits.MaxHeader, OnError: d.requestFailed,
 	}
 }
 
--- a/btdaemon/serve.go
+++ b/btdaemon/serve.go
@@ -146,7 +146,7 @@
 	d.dumps.Add("probes", func() any { return d.probes.Dump() })
 	d.dumps.Add("placement", func() any { return d.placement.Dump() })
 	d.dumps.Add("store", func() any { return d.store.Counts() })
-	d.metrics.Gauge("streams_open", "Open event streams.", func() float64 { return float64(d.front.Streams()) })
+	d.metrics.Gauge("streams_open", "Open event streams.", func() float64 { return float64(d.front.OpenStreams()) })
 	d.metrics.Gauge("requests_queued", "Requests that wait for capacity.", func() float64 { return float64(d.queue.Waiting()) })
 	d.metrics.Gauge("config_revision", "Revision of the configuration in force.", func() float64 { return float64(d.config.Digest().Revision) })
 	d.metrics.Counter("store_reads_total", "Reads of the platform's store.", func() float64 { return float64(d.store.Counts().Reads) })
--- a/btfront/doc.go
+++ b/btfront/doc.go
@@ -26,7 +26,7 @@
 //
 // # Usage
 //
-//	front := &btfront.Front{Path: path, Timer: timers, Entries: entries}
+//	front := &btfront.Front{RequestHandler: handler, Timer: timers, Entries: entries}
 //	server := front.Server()
 //	go server.Serve(listener)
 package btfront
--- a/btfront/failure.go
+++ b/btfront/failure.go
@@ -48,7 +48,7 @@
 }
 
 func (f *Front) report(req *bramleytack.Request, e *bramleytack.Error) {
-	if f.Failed != nil {
-		f.Failed(req, e)
+	if f.OnError != nil {
+		f.OnError(req, e)
 	}
 }
--- a/btfront/front.go
+++ b/btfront/front.go
@@ -45,23 +45,23 @@
 	HeaderKey          = "Idempotency-Key"
 )
 
-// Entries tells which entry addresses callers should use.
-type Entries interface {
+// EntryLister tells which entry addresses callers should use.
+type EntryLister interface {
 	// Entries returns the addresses and how long callers may keep them.
 	Entries() ([]netip.AddrPort, time.Duration)
 }
 
 // Front serves callers. Path and Timer are required.
 type Front struct {
-	Path    bramleytack.Handler
-	Timer   bramleytack.Timer
-	Entries Entries
+	RequestHandler bramleytack.Handler
+	Timer          bramleytack.Timer
+	Entries        EntryLister
 	// MaxBody, MaxHeader and BodyTimeout replace the defaults when positive.
 	MaxBody     int64
 	MaxHeader   int
 	BodyTimeout time.Duration
-	// Failed is called with each error that a caller was sent. It may be nil.
-	Failed func(*bramleytack.Request, *bramleytack.Error)
+	// OnError is called with each error that a caller was sent. It may be nil.
+	OnError func(*bramleytack.Request, *bramleytack.Error)
 
 	streams streamSet
 }
@@ -93,8 +93,8 @@
 	f.streams.run(ctx, f.Timer)
 }
 
-// Streams returns the number of open event streams.
-func (f *Front) Streams() int { return f.streams.len() }
+// OpenStreams returns the number of open event streams.
+func (f *Front) OpenStreams() int { return f.streams.len() }
 
 func (f *Front) unknown(w http.ResponseWriter, r *http.Request) {
 	f.fail(w, f.request(r, bramleytack.Call), bramleytack.NewError(bramleytack.CodeNotFound, bramleytack.NotRun, "no such path"))
--- a/btfront/front_test.go
+++ b/btfront/front_test.go
@@ -225,7 +225,7 @@
 	t.Helper()
 	timers := bttimer.New(1)
 	t.Cleanup(timers.Close)
-	f := &Front{Path: path, Timer: timers, Entries: noEntries{}, BodyTimeout: time.Second}
+	f := &Front{RequestHandler: path, Timer: timers, Entries: noEntries{}, BodyTimeout: time.Second}
 	s := httptest.NewUnstartedServer(nil)
 	s.Config = f.Server()
 	s.Start()
--- a/btfront/route.go
+++ b/btfront/route.go
@@ -81,7 +81,7 @@
 
 // serve runs a request whose answer is sent at once.
 func (f *Front) serve(ctx context.Context, w http.ResponseWriter, req *bramleytack.Request, reply bramleytack.ResponseWriter) {
-	if err := f.Path.Handle(ctx, req, reply); err != nil {
+	if err := f.RequestHandler.Handle(ctx, req, reply); err != nil {
 		f.fail(w, req, err)
 	}
 }
@@ -97,7 +97,7 @@
 	defer stop()
 	reply := newEventReply(w, req, f.Timer, window > 0)
 	f.streams.add(reply)
-	err = f.Path.Handle(ctx, req, reply)
+	err = f.RequestHandler.Handle(ctx, req, reply)
 	f.streams.remove(reply)
 	switch {
 	case err == nil:
--- a/internal/btforward/path_test.go
+++ b/internal/btforward/path_test.go
@@ -197,7 +197,7 @@
 		&btidentity.Filter{Snapshots: s, Timer: timers},
 		target{u, timers},
 	)
-	front := &btfront.Front{Path: path, Timer: timers}
+	front := &btfront.Front{RequestHandler: path, Timer: timers}
 	srv := httptest.NewUnstartedServer(nil)
 	srv.Config = front.Server()
 	srv.Start()
