--- a/btclient/call.go
+++ b/btclient/call.go
@@ -73,10 +73,10 @@
 		req.Header.Set("Content-Type", call.ContentType)
 	}
 	if call.Key != "" {
-		req.Header.Set(btfront.HeaderKey, call.Key)
+		req.Header.Set(btfront.HeaderIdempotencyKey, call.Key)
 	}
 	if call.Timeout > 0 {
-		req.Header.Set(btfront.HeaderTimeoutName, call.Timeout.String())
+		req.Header.Set(btfront.HeaderTimeout, call.Timeout.String())
 	}
 	resp, err := c.answer(req)
 	if errors.Is(err, errNoAnswer) {
@@ -96,7 +96,7 @@
 			WithCause(errors.Mark(err, errNoAnswer))
 	}
 	defer resp.Body.Close()
-	if resp.Header.Get(btfront.HeaderOutcome) != bramleytack.Ran.String() || resp.Header.Get("Content-Type") == btfront.ErrorType {
+	if resp.Header.Get(btfront.HeaderOutcome) != bramleytack.Ran.String() || resp.Header.Get("Content-Type") == btfront.ErrorContentType {
 		return nil, failure(resp)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
--- a/btclient/client_test.go
+++ b/btclient/client_test.go
@@ -38,7 +38,7 @@
 	e.calls.Add(1)
 	switch {
 	case e.fail != nil:
-		w.Header().Set("Content-Type", btfront.ErrorType)
+		w.Header().Set("Content-Type", btfront.ErrorContentType)
 		w.Header().Set(btfront.HeaderOutcome, e.fail.Outcome.String())
 		w.WriteHeader(e.fail.Code.Status())
 		fmt.Fprintf(w, `{"error":{"code":%q,"message":"x","outcome":%q}}`, e.fail.Code, e.fail.Outcome)
@@ -54,7 +54,7 @@
 	if s := r.URL.Query().Get("from"); s != "" {
 		_, _ = fmt.Sscan(s, &from)
 	}
-	w.Header().Set(btfront.HeaderToken, "tok")
+	w.Header().Set(btfront.HeaderGenerationToken, "tok")
 	for i := from; i < total; i++ {
 		if i == e.cut {
 			panic(http.ErrAbortHandler)
--- a/btclient/generate.go
+++ b/btclient/generate.go
@@ -133,7 +133,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return failure(resp)
 	}
-	if t := resp.Header.Get(btfront.HeaderToken); t != "" {
+	if t := resp.Header.Get(btfront.HeaderGenerationToken); t != "" {
 		g.result.Token = t
 	}
 	err = g.read(resp.Body)
@@ -161,7 +161,7 @@
 		h.Set(btfront.HeaderPriority, g.prompt.Priority)
 	}
 	if g.prompt.Timeout > 0 {
-		h.Set(btfront.HeaderTimeoutName, g.prompt.Timeout.String())
+		h.Set(btfront.HeaderTimeout, g.prompt.Timeout.String())
 	}
 	if g.prompt.ResumeWindow > 0 {
 		h.Set(btfront.HeaderResumeWindow, g.prompt.ResumeWindow.String())
--- a/btfront/decode.go
+++ b/btfront/decode.go
@@ -133,16 +133,16 @@
 		}
 		req.Priority = p
 	}
-	if s := r.Header.Get(HeaderTimeoutName); s != "" {
+	if s := r.Header.Get(HeaderTimeout); s != "" {
 		d, err := time.ParseDuration(s)
 		if err != nil || d <= 0 {
-			return bad("%s must be a positive duration such as 30s", HeaderTimeoutName)
+			return bad("%s must be a positive duration such as 30s", HeaderTimeout)
 		}
 		req.Deadline = req.Received.Add(d)
 	}
-	req.IdempotencyKey = r.Header.Get(HeaderKey)
+	req.IdempotencyKey = r.Header.Get(HeaderIdempotencyKey)
 	if len(req.IdempotencyKey) > maxKeyBytes {
-		return bad("%s is over the limit of %d bytes", HeaderKey, maxKeyBytes)
+		return bad("%s is over the limit of %d bytes", HeaderIdempotencyKey, maxKeyBytes)
 	}
 	return nil
 }
--- a/btfront/event.go
+++ b/btfront/event.go
@@ -46,7 +46,7 @@
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	h.Set(HeaderRequestID, string(e.req.ID))
-	h.Set(HeaderToken, o.GenerationToken)
+	h.Set(HeaderGenerationToken, o.GenerationToken)
 	e.prefix = e.chunkPrefix(o)
 	return nil
 }
--- a/btfront/failure.go
+++ b/btfront/failure.go
@@ -9,9 +9,9 @@
 	"bramleytack"
 )
 
-// ErrorType is the content type of an error of the system itself, in contrast
+// ErrorContentType is the content type of an error of the system itself, in contrast
 // to an error status that a service answered with.
-const ErrorType = "application/vnd.bramleytack.error+json"
+const ErrorContentType = "application/vnd.bramleytack.error+json"
 
 // failureBody is the body of each error.
 type failureBody struct {
@@ -37,7 +37,7 @@
 	e := bramleytack.AsError(err)
 	f.report(req, e)
 	h := w.Header()
-	h.Set("Content-Type", ErrorType)
+	h.Set("Content-Type", ErrorContentType)
 	h.Set(HeaderRequestID, string(req.ID))
 	h.Set(HeaderOutcome, e.Outcome.String())
 	if e.RetryAfter > 0 {
--- a/btfront/front.go
+++ b/btfront/front.go
@@ -20,9 +20,9 @@
 	// serverMaxHeader is where net/http itself cuts a header off. It is larger
 	// than DefaultMaxHeader, so that moderate excess gets a typed error.
 	serverMaxHeader = 64 << 10
-	// HeaderTimeout bounds the receipt of a header, DefaultBodyTimeout that of
+	// ReadHeaderTimeout bounds the receipt of a header, DefaultBodyTimeout that of
 	// a body.
-	HeaderTimeout      = 5 * time.Second
+	ReadHeaderTimeout  = 5 * time.Second
 	DefaultBodyTimeout = 10 * time.Second
 	// WriteTimeout is how long a caller may leave a write blocked.
 	WriteTimeout = 30 * time.Second
@@ -36,13 +36,13 @@
 
 // Headers of requests and answers.
 const (
-	HeaderToken        = "Bramleytack-Generation-Token"
-	HeaderPriority     = "Bramleytack-Priority"
-	HeaderTimeoutName  = "Bramleytack-Timeout"
-	HeaderResumeWindow = "Bramleytack-Resume-Window"
-	HeaderOutcome      = "Bramleytack-Outcome"
-	HeaderRequestID    = "X-Request-Id"
-	HeaderKey          = "Idempotency-Key"
+	HeaderGenerationToken = "Bramleytack-Generation-Token"
+	HeaderPriority        = "Bramleytack-Priority"
+	HeaderTimeout         = "Bramleytack-Timeout"
+	HeaderResumeWindow    = "Bramleytack-Resume-Window"
+	HeaderOutcome         = "Bramleytack-Outcome"
+	HeaderRequestID       = "X-Request-Id"
+	HeaderIdempotencyKey  = "Idempotency-Key"
 )
 
 // EntryLister tells which entry addresses callers should use.
@@ -82,7 +82,7 @@
 func (f *Front) Server() *http.Server {
 	return &http.Server{
 		Handler:           f.Handler(),
-		ReadHeaderTimeout: HeaderTimeout,
+		ReadHeaderTimeout: ReadHeaderTimeout,
 		IdleTimeout:       IdleTimeout,
 		MaxHeaderBytes:    serverMaxHeader,
 	}
--- a/btfront/front_test.go
+++ b/btfront/front_test.go
@@ -50,8 +50,8 @@
 		{name: "content of another type", body: `{"model":"m","messages":[{"role":"user","content":[{"type":"image"}]}]}`, status: 400, code: bramleytack.CodeBadRequest},
 		{name: "huge header", header: [2]string{"X-Long", strings.Repeat("x", DefaultMaxHeader)}, status: 400, code: bramleytack.CodeBadRequest},
 		{name: "unknown priority", body: fmt.Sprintf(chatBody, ""), header: [2]string{HeaderPriority, "highest"}, status: 400, code: bramleytack.CodeBadRequest},
-		{name: "bad timeout", body: fmt.Sprintf(chatBody, ""), header: [2]string{HeaderTimeoutName, "-1s"}, status: 400, code: bramleytack.CodeBadRequest},
-		{name: "long idempotency key", path: "/v1/services/orders/x", header: [2]string{HeaderKey, strings.Repeat("k", maxKeyBytes+1)}, status: 400, code: bramleytack.CodeBadRequest},
+		{name: "bad timeout", body: fmt.Sprintf(chatBody, ""), header: [2]string{HeaderTimeout, "-1s"}, status: 400, code: bramleytack.CodeBadRequest},
+		{name: "long idempotency key", path: "/v1/services/orders/x", header: [2]string{HeaderIdempotencyKey, strings.Repeat("k", maxKeyBytes+1)}, status: 400, code: bramleytack.CodeBadRequest},
 		{name: "path out of the service", path: "/v1/services/orders/a/%2e%2e/%2e%2e/x", status: 400, code: bramleytack.CodeBadRequest},
 		{name: "negative index", method: "GET", path: "/v1/generations/t?from=-1", status: 400, code: bramleytack.CodeBadRequest},
 		{name: "unknown path", path: "/v2/x", status: 404, code: bramleytack.CodeNotFound},
@@ -108,7 +108,7 @@
 	t.Run("whole stream", func(t *testing.T) {
 		resp := post(t, serve(t, generate), fmt.Sprintf(chatBody, `,"stream":true`))
 		assert.Equal(t, resp.Header.Get("Content-Type"), "text/event-stream")
-		assert.Equal(t, resp.Header.Get(HeaderToken), "tok")
+		assert.Equal(t, resp.Header.Get(HeaderGenerationToken), "tok")
 		text, last := readEvents(t, resp.Body)
 		assert.Equal(t, text, "t0\nt1\nt2\n")
 		assert.Equal(t, last, "[DONE]")
@@ -181,7 +181,7 @@
 	}))
 	req, err := http.NewRequestWithContext(t.Context(), "POST", base+"/v1/services/orders/a/b?q=1", nil)
 	assert.NilError(t, err)
-	req.Header.Set(HeaderKey, "k")
+	req.Header.Set(HeaderIdempotencyKey, "k")
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	body, err := io.ReadAll(resp.Body)
--- a/btfront/reply.go
+++ b/btfront/reply.go
@@ -67,7 +67,7 @@
 	h := c.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderRequestID, string(c.req.ID))
-	h.Set(HeaderToken, c.opening.GenerationToken)
+	h.Set(HeaderGenerationToken, c.opening.GenerationToken)
 	return json.NewEncoder(c.w).Encode(chatAnswer{
 		ID:      "chatcmpl-" + string(c.req.ID),
 		Object:  "chat.completion",
