--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -50,7 +50,7 @@
 	path := bramleytack.Chain(
 		dispatch,
 		&btmetric.Filter{Metrics: d.metrics, Timer: d.timers},
-		&btidentity.Filter{Snapshots: d.snapshots, Timer: d.timers, MaxTimeout: s.Limits.MaxTimeout, Complete: d.complete},
+		&btidentity.Filter{Snapshots: d.snapshots, Timer: d.timers, MaxTimeout: s.Limits.MaxTimeout, ConfigLoaded: d.complete},
 		&btclaim.Filter{
 			Snapshots: d.snapshots, Claims: &btclaim.Router{Count: claimShards, Owner: c.claims.Owner},
 			Entry: s.Host, OnFinishError: d.unrecorded,
--- a/btidentity/filter.go
+++ b/btidentity/filter.go
@@ -34,10 +34,10 @@
 	// Timeout and MaxTimeout replace the defaults when positive.
 	Timeout    time.Duration
 	MaxTimeout time.Duration
-	// Complete is closed when the configuration is complete. A part of it could
+	// ConfigLoaded is closed when the configuration is complete. A part of it could
 	// refuse a caller for good whose record is yet to come. Nil takes it as
 	// complete.
-	Complete <-chan struct{}
+	ConfigLoaded <-chan struct{}
 }
 
 // Handle sets the request's workspace, priority and deadline and clears its
@@ -64,18 +64,18 @@
 
 // await returns when the configuration is complete.
 func (f *Filter) await(ctx context.Context) error {
-	if f.Complete == nil {
+	if f.ConfigLoaded == nil {
 		return nil
 	}
 	select {
-	case <-f.Complete:
+	case <-f.ConfigLoaded:
 		return nil
 	default:
 	}
 	end := f.Timer.After(startWait)
 	defer end.Stop()
 	select {
-	case <-f.Complete:
+	case <-f.ConfigLoaded:
 		return nil
 	case <-ctx.Done():
 	case <-end.C():
--- a/btidentity/filter_test.go
+++ b/btidentity/filter_test.go
@@ -49,7 +49,7 @@
 				if !c.starting {
 					close(complete)
 				}
-				f := &Filter{Snapshots: s, Timer: timers, Complete: complete}
+				f := &Filter{Snapshots: s, Timer: timers, ConfigLoaded: complete}
 				r := &bramleytack.Request{Credential: c.key, Priority: c.priority, Received: timers.Now()}
 				if c.timeout != 0 {
 					r.Deadline = timers.Now().Add(c.timeout)
@@ -83,7 +83,7 @@
 		complete := make(chan struct{})
 		ws := &bramleytack.Workspace{Name: "w"}
 		s := fixed{&bramleytack.Snapshot{ByKeyHash: map[string]*bramleytack.Workspace{HashKey("key"): ws}}}
-		f := &Filter{Snapshots: s, Timer: timers, Complete: complete}
+		f := &Filter{Snapshots: s, Timer: timers, ConfigLoaded: complete}
 		go func() {
 			time.Sleep(time.Second)
 			close(complete)
