--- a/btdaemon/daemon.go
+++ b/btdaemon/daemon.go
@@ -243,7 +243,7 @@
 }
 
 func (d *Daemon) hostsChanged(l *bthost.Leaving) {
-	d.log.Event(btevent.UpstreamLeaving).Int("hosts", l.Len()).Send()
+	d.log.Event(btevent.LeavingHostsChanged).Int("hosts", l.Len()).Send()
 	if l.Has(d.settings.Listen.Addr()) {
 		d.log.Event(btevent.HostLeaving).Send()
 	}
--- a/btdaemon/health.go
+++ b/btdaemon/health.go
@@ -98,14 +98,14 @@
 func (d *Daemon) checkConfig(h *health) {
 	if n := d.config.Stats().Undecodable; n != h.undecodable {
 		if n > h.undecodable {
-			d.log.Event(btevent.ConfigUndecoded).Int("records", n).Send()
+			d.log.Event(btevent.RecordUndecodable).Int("records", n).Send()
 		}
 		h.undecodable = n
 	}
 	current := d.config.Snapshot().Quarantined
 	for fp := range current {
 		if !h.quarantined[fp] {
-			d.log.Event(btevent.RequestPoison).Str("fingerprint", fp).Send()
+			d.log.Event(btevent.RequestQuarantined).Str("fingerprint", fp).Send()
 		}
 	}
 	h.quarantined = current
--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -127,18 +127,18 @@
 }
 
 func (d *Daemon) crashed(u bramleytack.UpstreamID, i bramleytack.InstanceID, fps []bramleytack.Fingerprint) {
-	d.log.Event(btevent.RequestSuspect).Str("upstream", string(u)).Str("instance", string(i)).Int("requests", len(fps)).Send()
+	d.log.Event(btevent.RequestSuspected).Str("upstream", string(u)).Str("instance", string(i)).Int("requests", len(fps)).Send()
 }
 
 func (d *Daemon) unrecorded(key btclaim.ClaimKey, id bramleytack.RequestID, err error) {
-	d.log.Event(btevent.ClaimUnstored).Str("workspace", string(key.Workspace)).Str("service", key.Service).
+	d.log.Event(btevent.ClaimNotStored).Str("workspace", string(key.Workspace)).Str("service", key.Service).
 		Str("request", string(id)).Err(err).Send()
 }
 
 func (d *Daemon) requestFailed(r *bramleytack.Request, e *bramleytack.Error) {
 	event := btevent.RequestFailed
 	if e.Outcome == bramleytack.NotRun {
-		event = btevent.RequestRefused
+		event = btevent.RequestNotRun
 	}
 	d.log.Event(event).Str("request", string(r.ID)).Str("workspace", string(r.Workspace)).Stringer("kind", r.Kind).
 		Str("code", string(e.Code)).Stringer("outcome", e.Outcome).Str("message", e.Message).AnErr("cause", e.Cause).Send()
--- a/btdaemon/placement.go
+++ b/btdaemon/placement.go
@@ -27,9 +27,9 @@
 }
 
 var orderEvents = map[btplace.EventKind]btevent.Event{
-	btplace.Sent:   btevent.OrderSent,
-	btplace.Failed: btevent.OrderFailed,
-	btplace.Fenced: btevent.OrderFenced,
+	btplace.Sent:   btevent.CommandSent,
+	btplace.Failed: btevent.CommandFailed,
+	btplace.Fenced: btevent.CommandFenced,
 }
 
 // ordered logs the end of an order.
--- a/btevent/event.go
+++ b/btevent/event.go
@@ -20,65 +20,65 @@
 // The events, by range: 1xx the process, 2xx the configuration, 3xx leases and
 // views, 4xx upstreams, 5xx requests, 6xx claims and quarantine, 7xx placement.
 var (
-	ProcessStarted      = Event{100, zerolog.InfoLevel, "daemon has started"}
-	ProcessDraining     = Event{101, zerolog.InfoLevel, "daemon is draining"}
-	ProcessStopped      = Event{102, zerolog.InfoLevel, "daemon has stopped"}
-	ProcessFailed       = Event{103, zerolog.ErrorLevel, "daemon has failed"}
-	HostLeaving         = Event{104, zerolog.WarnLevel, "platform lists this host as leaving"}
-	HostIsolated        = Event{105, zerolog.ErrorLevel, "host reaches neither the store nor a peer"}
-	HostRejoined        = Event{106, zerolog.InfoLevel, "host reaches the store or a peer again"}
-	ProcessSuspended    = Event{107, zerolog.WarnLevel, "process was suspended, what it believed is dropped"}
-	SettingsReloaded    = Event{108, zerolog.InfoLevel, "settings were read again"}
-	DaemonRegistered    = Event{109, zerolog.InfoLevel, "daemon is registered in the store"}
-	ConfigApplied       = Event{200, zerolog.DebugLevel, "configuration is in force"}
-	ConfigUndecoded     = Event{201, zerolog.WarnLevel, "record cannot be decoded, its last good form stays in force"}
-	WatchReopened       = Event{202, zerolog.InfoLevel, "watch was opened again"}
-	StoreDown           = Event{203, zerolog.WarnLevel, "store is unavailable"}
-	RecordChanged       = Event{204, zerolog.InfoLevel, "operator changed a record"}
-	RecordConflict      = Event{205, zerolog.InfoLevel, "operator's change conflicts with another"}
-	ConfigInForce       = Event{206, zerolog.InfoLevel, "version of the configuration is in force"}
-	ConfigRegressed     = Event{207, zerolog.ErrorLevel, "older version of the configuration was refused"}
-	HistoryGone         = Event{208, zerolog.InfoLevel, "store has dropped its history, kind is listed again"}
-	StoreRegained       = Event{209, zerolog.InfoLevel, "store answers again"}
-	ReplicaPulled       = Event{210, zerolog.InfoLevel, "objects were pulled from a peer"}
-	FollowBegan         = Event{211, zerolog.InfoLevel, "daemon follows a kind in the store"}
-	FollowEnded         = Event{212, zerolog.InfoLevel, "daemon leaves a kind to others"}
-	LeaseAcquired       = Event{300, zerolog.InfoLevel, "cell lease was acquired"}
-	LeaseLost           = Event{301, zerolog.WarnLevel, "cell lease was lost"}
-	ViewChanged         = Event{302, zerolog.InfoLevel, "view has changed"}
-	ViewExpired         = Event{303, zerolog.WarnLevel, "view lease has expired"}
-	PeerLost            = Event{304, zerolog.WarnLevel, "link to a peer was lost"}
-	PeerSeen            = Event{305, zerolog.InfoLevel, "peer is alive"}
-	PeerPacketDropped   = Event{306, zerolog.WarnLevel, "message of a peer was dropped"}
-	UpstreamStarted     = Event{400, zerolog.InfoLevel, "upstream has a new instance"}
-	UpstreamFailed      = Event{401, zerolog.WarnLevel, "upstream does not answer"}
-	UpstreamLeaving     = Event{403, zerolog.InfoLevel, "upstream is leaving"}
-	UpstreamUndecoded   = Event{404, zerolog.WarnLevel, "registration names no upstream to use"}
-	UpstreamRegistered  = Event{405, zerolog.InfoLevel, "registration of an upstream has changed"}
-	UpstreamLeavingSeen = Event{406, zerolog.InfoLevel, "upstream has told of its leaving"}
-	UpstreamRemoved     = Event{407, zerolog.InfoLevel, "registration of an upstream is gone"}
-	UpstreamEjected     = Event{408, zerolog.WarnLevel, "upstream gets no work because of failures"}
-	RequestFailed       = Event{500, zerolog.WarnLevel, "request failed"}
-	RequestRefused      = Event{501, zerolog.DebugLevel, "request was refused"}
-	RequestRejected     = Event{502, zerolog.InfoLevel, "request was answered by the daemon itself"}
-	AttemptEnded        = Event{503, zerolog.InfoLevel, "attempt at an upstream has ended"}
-	AttemptStarted      = Event{504, zerolog.InfoLevel, "stream was sent to an upstream"}
-	BudgetSpent         = Event{505, zerolog.WarnLevel, "retry budget is spent"}
-	CallerLeft          = Event{506, zerolog.InfoLevel, "caller has left"}
-	RequestAnswered     = Event{507, zerolog.InfoLevel, "upstream's response was passed on"}
-	SegmentEnded        = Event{508, zerolog.InfoLevel, "part of a stream has ended"}
-	StreamMoved         = Event{509, zerolog.InfoLevel, "stream goes on at another upstream"}
-	StreamBroken        = Event{510, zerolog.WarnLevel, "stream was broken off"}
-	HandoverStarted     = Event{511, zerolog.InfoLevel, "another upstream was asked to go on with a stream"}
-	MoveStarted         = Event{512, zerolog.InfoLevel, "move of a generation has started"}
-	MoveEnded           = Event{513, zerolog.InfoLevel, "move of a generation has ended"}
-	ClaimUnstored       = Event{600, zerolog.ErrorLevel, "outcome of a claim could not be stored"}
-	RequestSuspect      = Event{602, zerolog.WarnLevel, "request was running when an upstream crashed"}
-	RequestPoison       = Event{603, zerolog.ErrorLevel, "request is quarantined"}
-	OrderSent           = Event{700, zerolog.InfoLevel, "order was sent to an engine"}
-	OrderFailed         = Event{701, zerolog.WarnLevel, "order to an engine failed"}
-	OrderFenced         = Event{702, zerolog.WarnLevel, "engine refused an old fencing number"}
-	CertificateError    = Event{800, zerolog.ErrorLevel, "certificate cannot be loaded"}
+	ProcessStarted          = Event{100, zerolog.InfoLevel, "daemon has started"}
+	ProcessDraining         = Event{101, zerolog.InfoLevel, "daemon is draining"}
+	ProcessStopped          = Event{102, zerolog.InfoLevel, "daemon has stopped"}
+	ProcessFailed           = Event{103, zerolog.ErrorLevel, "daemon has failed"}
+	HostLeaving             = Event{104, zerolog.WarnLevel, "platform lists this host as leaving"}
+	HostIsolated            = Event{105, zerolog.ErrorLevel, "host reaches neither the store nor a peer"}
+	HostRejoined            = Event{106, zerolog.InfoLevel, "host reaches the store or a peer again"}
+	ProcessSuspended        = Event{107, zerolog.WarnLevel, "process was suspended, what it believed is dropped"}
+	SettingsReloaded        = Event{108, zerolog.InfoLevel, "settings were read again"}
+	DaemonRegistered        = Event{109, zerolog.InfoLevel, "daemon is registered in the store"}
+	ConfigApplied           = Event{200, zerolog.DebugLevel, "configuration is in force"}
+	RecordUndecodable       = Event{201, zerolog.WarnLevel, "record cannot be decoded, its last good form stays in force"}
+	WatchReopened           = Event{202, zerolog.InfoLevel, "watch was opened again"}
+	StoreDown               = Event{203, zerolog.WarnLevel, "store is unavailable"}
+	RecordChanged           = Event{204, zerolog.InfoLevel, "operator changed a record"}
+	RecordConflict          = Event{205, zerolog.InfoLevel, "operator's change conflicts with another"}
+	ConfigInForce           = Event{206, zerolog.InfoLevel, "version of the configuration is in force"}
+	ConfigRegressed         = Event{207, zerolog.ErrorLevel, "older version of the configuration was refused"}
+	HistoryGone             = Event{208, zerolog.InfoLevel, "store has dropped its history, kind is listed again"}
+	StoreRecovered          = Event{209, zerolog.InfoLevel, "store answers again"}
+	ReplicaPulled           = Event{210, zerolog.InfoLevel, "objects were pulled from a peer"}
+	WatchStarted            = Event{211, zerolog.InfoLevel, "daemon follows a kind in the store"}
+	WatchEnded              = Event{212, zerolog.InfoLevel, "daemon leaves a kind to others"}
+	LeaseAcquired           = Event{300, zerolog.InfoLevel, "cell lease was acquired"}
+	LeaseLost               = Event{301, zerolog.WarnLevel, "cell lease was lost"}
+	ViewChanged             = Event{302, zerolog.InfoLevel, "view has changed"}
+	ViewExpired             = Event{303, zerolog.WarnLevel, "view lease has expired"}
+	PeerLost                = Event{304, zerolog.WarnLevel, "link to a peer was lost"}
+	PeerAlive               = Event{305, zerolog.InfoLevel, "peer is alive"}
+	PeerPacketDropped       = Event{306, zerolog.WarnLevel, "message of a peer was dropped"}
+	UpstreamStarted         = Event{400, zerolog.InfoLevel, "upstream has a new instance"}
+	UpstreamFailed          = Event{401, zerolog.WarnLevel, "upstream does not answer"}
+	LeavingHostsChanged     = Event{403, zerolog.InfoLevel, "upstream is leaving"}
+	RegistrationUndecodable = Event{404, zerolog.WarnLevel, "registration names no upstream to use"}
+	UpstreamRegistered      = Event{405, zerolog.InfoLevel, "registration of an upstream has changed"}
+	UpstreamLeavingReported = Event{406, zerolog.InfoLevel, "upstream has told of its leaving"}
+	UpstreamRemoved         = Event{407, zerolog.InfoLevel, "registration of an upstream is gone"}
+	UpstreamEjected         = Event{408, zerolog.WarnLevel, "upstream gets no work because of failures"}
+	RequestFailed           = Event{500, zerolog.WarnLevel, "request failed"}
+	RequestNotRun           = Event{501, zerolog.DebugLevel, "request was refused"}
+	RequestRejected         = Event{502, zerolog.InfoLevel, "request was answered by the daemon itself"}
+	AttemptEnded            = Event{503, zerolog.InfoLevel, "attempt at an upstream has ended"}
+	AttemptStarted          = Event{504, zerolog.InfoLevel, "stream was sent to an upstream"}
+	RetryBudgetExhausted    = Event{505, zerolog.WarnLevel, "retry budget is spent"}
+	CallerDisconnected      = Event{506, zerolog.InfoLevel, "caller has left"}
+	RequestAnswered         = Event{507, zerolog.InfoLevel, "upstream's response was passed on"}
+	SegmentEnded            = Event{508, zerolog.InfoLevel, "part of a stream has ended"}
+	StreamMoved             = Event{509, zerolog.InfoLevel, "stream goes on at another upstream"}
+	StreamBroken            = Event{510, zerolog.WarnLevel, "stream was broken off"}
+	HandoverStarted         = Event{511, zerolog.InfoLevel, "another upstream was asked to go on with a stream"}
+	MoveStarted             = Event{512, zerolog.InfoLevel, "move of a generation has started"}
+	MoveEnded               = Event{513, zerolog.InfoLevel, "move of a generation has ended"}
+	ClaimNotStored          = Event{600, zerolog.ErrorLevel, "outcome of a claim could not be stored"}
+	RequestSuspected        = Event{602, zerolog.WarnLevel, "request was running when an upstream crashed"}
+	RequestQuarantined      = Event{603, zerolog.ErrorLevel, "request is quarantined"}
+	CommandSent             = Event{700, zerolog.InfoLevel, "order was sent to an engine"}
+	CommandFailed           = Event{701, zerolog.WarnLevel, "order to an engine failed"}
+	CommandFenced           = Event{702, zerolog.WarnLevel, "engine refused an old fencing number"}
+	CertificateError        = Event{800, zerolog.ErrorLevel, "certificate cannot be loaded"}
 )
 
 // All returns the catalogue in the order of the numbers.
@@ -95,7 +95,7 @@
 		SettingsReloaded,
 		DaemonRegistered,
 		ConfigApplied,
-		ConfigUndecoded,
+		RecordUndecodable,
 		WatchReopened,
 		StoreDown,
 		RecordChanged,
@@ -103,32 +103,32 @@
 		ConfigInForce,
 		ConfigRegressed,
 		HistoryGone,
-		StoreRegained,
+		StoreRecovered,
 		ReplicaPulled,
-		FollowBegan,
-		FollowEnded,
+		WatchStarted,
+		WatchEnded,
 		LeaseAcquired,
 		LeaseLost,
 		ViewChanged,
 		ViewExpired,
 		PeerLost,
-		PeerSeen,
+		PeerAlive,
 		PeerPacketDropped,
 		UpstreamStarted,
 		UpstreamFailed,
-		UpstreamLeaving,
-		UpstreamUndecoded,
+		LeavingHostsChanged,
+		RegistrationUndecodable,
 		UpstreamRegistered,
-		UpstreamLeavingSeen,
+		UpstreamLeavingReported,
 		UpstreamRemoved,
 		UpstreamEjected,
 		RequestFailed,
-		RequestRefused,
+		RequestNotRun,
 		RequestRejected,
 		AttemptEnded,
 		AttemptStarted,
-		BudgetSpent,
-		CallerLeft,
+		RetryBudgetExhausted,
+		CallerDisconnected,
 		RequestAnswered,
 		SegmentEnded,
 		StreamMoved,
@@ -136,12 +136,12 @@
 		HandoverStarted,
 		MoveStarted,
 		MoveEnded,
-		ClaimUnstored,
-		RequestSuspect,
-		RequestPoison,
-		OrderSent,
-		OrderFailed,
-		OrderFenced,
+		ClaimNotStored,
+		RequestSuspected,
+		RequestQuarantined,
+		CommandSent,
+		CommandFailed,
+		CommandFenced,
 		CertificateError,
 	}
 }
--- a/btevent/event_test.go
+++ b/btevent/event_test.go
@@ -53,7 +53,7 @@
 func TestLevel(t *testing.T) {
 	var b bytes.Buffer
 	l := New(&b, zerolog.InfoLevel, "h")
-	l.Event(RequestRefused).Send()
+	l.Event(RequestNotRun).Send()
 	assert.Equal(t, b.Len(), 0)
 	l.Event(ProcessStarted).Str("x", "y").Send()
 	assert.Assert(t, strings.Contains(b.String(), `"event":"BT100"`), b.String())
--- a/internal/fleet/btdirectory/handler.go
+++ b/internal/fleet/btdirectory/handler.go
@@ -70,6 +70,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(h.Encode(addrs, v)); err != nil {
-		h.Log.Event(btevent.CallerLeft).Err(err).Send()
+		h.Log.Event(btevent.CallerDisconnected).Err(err).Send()
 	}
 }
--- a/internal/fleet/btgossip/receiver.go
+++ b/internal/fleet/btgossip/receiver.go
@@ -88,7 +88,7 @@
 		if !n.peers.merge(peer, direct, now) {
 			continue
 		}
-		n.Log.Event(btevent.PeerSeen).Str("peer", m.Host).Stringer("addr", addr).Uint64("incarnation", m.Incarnation).Send()
+		n.Log.Event(btevent.PeerAlive).Str("peer", m.Host).Stringer("addr", addr).Uint64("incarnation", m.Incarnation).Send()
 		if direct {
 			// The peer may have just started: the digest shows it the daemons that follow
 			// the store.
--- a/internal/fleet/btreplica/store_status.go
+++ b/internal/fleet/btreplica/store_status.go
@@ -62,7 +62,7 @@
 	s.prober = nil
 	if s.down {
 		s.down = false
-		log.Event(btevent.StoreRegained).Dur("away", now.Sub(s.lastFailure)).Send()
+		log.Event(btevent.StoreRecovered).Dur("away", now.Sub(s.lastFailure)).Send()
 	}
 }
 
--- a/internal/fleet/btreplica/table.go
+++ b/internal/fleet/btreplica/table.go
@@ -235,7 +235,7 @@
 		return
 	}
 	t.leaving[string(id)] = true
-	t.log.Event(btevent.UpstreamLeavingSeen).Str("upstream", string(id)).Send()
+	t.log.Event(btevent.UpstreamLeavingReported).Str("upstream", string(id)).Send()
 	t.rebuild()
 }
 
@@ -286,7 +286,7 @@
 			continue
 		}
 		if err := t.codec.Config(o.Data, s); err != nil {
-			t.log.Event(btevent.ConfigUndecoded).Uint64("revision", uint64(o.Version)).Err(err).Send()
+			t.log.Event(btevent.RecordUndecodable).Uint64("revision", uint64(o.Version)).Err(err).Send()
 			if old == nil {
 				return nil
 			}
@@ -362,7 +362,7 @@
 	}
 	u, err := t.codec.Upstream(name, o.Data, t.timer.Now())
 	if err != nil {
-		t.log.Event(btevent.UpstreamUndecoded).Str("upstream", name).Uint64("revision", uint64(o.Version)).Err(err).Send()
+		t.log.Event(btevent.RegistrationUndecodable).Str("upstream", name).Uint64("revision", uint64(o.Version)).Err(err).Send()
 	} else {
 		t.log.Event(btevent.UpstreamRegistered).Str("upstream", name).Str("service", u.Service).Stringer("addr", u.Addr).Str("state", string(u.State)).Uint64("revision", uint64(o.Version)).Send()
 	}
--- a/internal/fleet/btreplica/watcher.go
+++ b/internal/fleet/btreplica/watcher.go
@@ -75,9 +75,9 @@
 	following := active || !w.activeAt.IsZero() && now.Sub(w.activeAt) < followOverlap
 	if following != w.following {
 		w.following = following
-		event := btevent.FollowEnded
+		event := btevent.WatchEnded
 		if following {
-			event = btevent.FollowBegan
+			event = btevent.WatchStarted
 		}
 		w.Log.Event(event).Str("kind", w.Kind).Uint64("upto", uint64(w.Table.Upto(w.Kind))).Send()
 	}
--- a/internal/node/btnode/registration.go
+++ b/internal/node/btnode/registration.go
@@ -59,7 +59,7 @@
 	for _, o := range objects {
 		var d daemonRecord
 		if err := json.Unmarshal(o.Data, &d); err != nil {
-			n.log.Event(btevent.ConfigUndecoded).Str("daemon", o.Name).Err(err).Send()
+			n.log.Event(btevent.RecordUndecodable).Str("daemon", o.Name).Err(err).Send()
 			continue
 		}
 		registered = append(registered, btgossip.RegisteredDaemon{Host: bramleytack.HostID(o.Name), Addr: d.Addr})
--- a/internal/serve/btentry/call.go
+++ b/internal/serve/btentry/call.go
@@ -48,7 +48,7 @@
 		}
 		tried[u.ID] = true
 		if sent > 0 && !req.h.Budget.Retry(req.service) {
-			req.log(btevent.BudgetSpent).Str("service", req.service).Send()
+			req.log(btevent.RetryBudgetExhausted).Str("service", req.service).Send()
 			break
 		}
 		r := req.attempt(ctx, u, req.attemptTimeout())
@@ -133,7 +133,7 @@
 func (req *activeRequest) respond(ctx context.Context, r *attemptResult) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		req.log(btevent.CallerLeft).Int("sends", req.attempts).Send()
+		req.log(btevent.CallerDisconnected).Int("sends", req.attempts).Send()
 	case r == nil:
 		req.reject(http.StatusServiceUnavailable, req.retryAfter(), "no upstream available")
 	case r.usable():
--- a/internal/serve/btentry/handler.go
+++ b/internal/serve/btentry/handler.go
@@ -238,7 +238,7 @@
 		req.reject(http.StatusRequestEntityTooLarge, 0, "body is too large")
 		return false
 	case err != nil:
-		req.log(btevent.CallerLeft).Err(err).Send()
+		req.log(btevent.CallerDisconnected).Err(err).Send()
 		return false
 	}
 	req.body = body
--- a/internal/serve/btentry/stream.go
+++ b/internal/serve/btentry/stream.go
@@ -231,7 +231,7 @@
 	}
 	s.sendHead()
 	if _, err := s.req.w.Write(i.event.Raw); err != nil {
-		s.req.log(btevent.CallerLeft).Err(err).Uint64("lastEvent", s.lastEventID).Send()
+		s.req.log(btevent.CallerDisconnected).Err(err).Uint64("lastEvent", s.lastEventID).Send()
 		s.done = true
 		return
 	}
@@ -340,7 +340,7 @@
 	req := s.req
 	switch {
 	case errors.Is(context.Cause(s.ctx), context.Canceled):
-		req.log(btevent.CallerLeft).Uint64("lastEvent", s.lastEventID).Send()
+		req.log(btevent.CallerDisconnected).Uint64("lastEvent", s.lastEventID).Send()
 	case s.headSent:
 		req.log(btevent.StreamBroken).Uint64("lastEvent", s.lastEventID).Dur("left", req.remaining()).Send()
 		req.h.Metrics.streamBroken()
