--- a/btdaemon/daemon.go
+++ b/btdaemon/daemon.go
@@ -215,7 +215,7 @@
 // drain leaves the entry list, waits for the callers that still use it, lets
 // the requests in flight end and gives up the roles.
 func (d *Daemon) drain(ctx context.Context, servers []*http.Server) {
-	d.log.Event(btevent.ProcessDraining).Int("streams", d.front.Streams()).Send()
+	d.log.Event(btevent.ProcessDraining).Int("streams", d.front.OpenStreams()).Send()
 	d.draining.Store(true)
 	// The other members hear of it by their next exchange, and the lists that
 	// they gave out until then stay in use for their validity.
@@ -243,7 +243,7 @@
 }
 
 func (d *Daemon) hostsChanged(l *bthost.Leaving) {
-	d.log.Event(btevent.UpstreamLeaving).Int("hosts", l.Len()).Send()
+	d.log.Event(btevent.LeavingHostsChanged).Int("hosts", l.Len()).Send()
 	if l.Has(d.settings.Listen.Addr()) {
 		d.log.Event(btevent.HostLeaving).Send()
 	}
--- a/btfront/front.go
+++ b/btfront/front.go
@@ -20,9 +20,9 @@
 	// serverMaxHeader is where net/http itself cuts a header off. It is larger
 	// than DefaultMaxHeader, so that moderate excess gets a typed error.
 	serverMaxHeader = 64 << 10
-	// HeaderTimeout bounds the receipt of a header, DefaultBodyTimeout that of
+	// ReadHeaderTimeout bounds the receipt of a header, DefaultBodyTimeout that of
 	// a body.
-	HeaderTimeout      = 5 * time.Second
+	ReadHeaderTimeout  = 5 * time.Second
 	DefaultBodyTimeout = 10 * time.Second
 	// WriteTimeout is how long a caller may leave a write blocked.
 	WriteTimeout = 30 * time.Second
@@ -36,32 +36,32 @@
 
 // Headers of requests and answers.
 const (
-	HeaderToken        = "Bramleytack-Generation-Token"
-	HeaderPriority     = "Bramleytack-Priority"
-	HeaderTimeoutName  = "Bramleytack-Timeout"
-	HeaderResumeWindow = "Bramleytack-Resume-Window"
-	HeaderOutcome      = "Bramleytack-Outcome"
-	HeaderRequestID    = "X-Request-Id"
-	HeaderKey          = "Idempotency-Key"
+	HeaderGenerationToken = "Bramleytack-Generation-Token"
+	HeaderPriority        = "Bramleytack-Priority"
+	HeaderTimeout         = "Bramleytack-Timeout"
+	HeaderResumeWindow    = "Bramleytack-Resume-Window"
+	HeaderOutcome         = "Bramleytack-Outcome"
+	HeaderRequestID       = "X-Request-Id"
+	HeaderIdempotencyKey  = "Idempotency-Key"
 )
 
-// Entries tells which entry addresses callers should use.
-type Entries interface {
+// EntryLister tells which entry addresses callers should use.
+type EntryLister interface {
 	// Entries returns the addresses and how long callers may keep them.
 	Entries() ([]netip.AddrPort, time.Duration)
 }
 
 // Front serves callers. Path and Timer are required.
 type Front struct {
-	Path    bramleytack.Handler
-	Timer   bramleytack.Timer
-	Entries Entries
+	RequestHandler bramleytack.Handler
+	Timer          bramleytack.Timer
+	Entries        EntryLister
 	// MaxBody, MaxHeader and BodyTimeout replace the defaults when positive.
 	MaxBody     int64
 	MaxHeader   int
 	BodyTimeout time.Duration
-	// Failed is called with each error that a caller was sent. It may be nil.
-	Failed func(*bramleytack.Request, *bramleytack.Error)
+	// OnError is called with each error that a caller was sent. It may be nil.
+	OnError func(*bramleytack.Request, *bramleytack.Error)
 
 	streams streamSet
 }
@@ -82,7 +82,7 @@
 func (f *Front) Server() *http.Server {
 	return &http.Server{
 		Handler:           f.Handler(),
-		ReadHeaderTimeout: HeaderTimeout,
+		ReadHeaderTimeout: ReadHeaderTimeout,
 		IdleTimeout:       IdleTimeout,
 		MaxHeaderBytes:    serverMaxHeader,
 	}
@@ -93,8 +93,8 @@
 	f.streams.run(ctx, f.Timer)
 }
 
-// Streams returns the number of open event streams.
-func (f *Front) Streams() int { return f.streams.len() }
+// OpenStreams returns the number of open event streams.
+func (f *Front) OpenStreams() int { return f.streams.len() }
 
 func (f *Front) unknown(w http.ResponseWriter, r *http.Request) {
 	f.fail(w, f.request(r, bramleytack.Call), bramleytack.NewError(bramleytack.CodeNotFound, bramleytack.NotRun, "no such path"))
