--- a/bthost/doc.go
+++ b/bthost/doc.go
@@ -1,10 +1,11 @@
-// Package bthost follows the platform's list of live and leaving hosts.
+// Package bthost tracks which hosts the platform lists as leaving.
 //
-// An upstream on a host that the list names as leaving gets no new work. The
-// Overlay gives each reader a snapshot in which such upstreams are leaving, so
-// the parts of the request path need no second source. Members of a cell read
-// the list in turn and tell each other what they saw; the earliest news wins. A
-// host that was seen as leaving stays so until a later list shows otherwise.
+// An upstream on a leaving host gets no new work. Overlay returns configuration
+// snapshots in which such upstreams have the state leaving, so that the request
+// path has to check only the snapshot. Each member of a cell polls the host list
+// and reports leaving hosts to its peers, so that all members know of a leaving
+// host soon after the first one has read the list. A host remains leaving until a
+// later list shows otherwise; a report of a peer also expires after 30 s.
 //
 // # Usage
 //
--- a/bthost/overlay.go
+++ b/bthost/overlay.go
@@ -7,24 +7,25 @@
 	"bramleytack"
 )
 
-// Overlay implements bramleytack.Snapshots: the configuration with upstreams on
-// leaving hosts marked as leaving.
+// Overlay implements bramleytack.Snapshots: the snapshots of Config, with
+// upstreams on leaving hosts marked as leaving. It is safe for concurrent use.
 type Overlay struct {
 	Config bramleytack.Snapshots
 	Hosts  *Watcher
 
-	cached atomic.Pointer[overlaid]
+	cached atomic.Pointer[mergedSnapshot]
 }
 
-// overlaid is a snapshot with what it was made from.
-type overlaid struct {
+// mergedSnapshot is a cached result with its inputs, which are compared by
+// pointer to detect a change.
+type mergedSnapshot struct {
 	config   *bramleytack.Snapshot
 	leaving  *Leaving
 	snapshot *bramleytack.Snapshot
 }
 
-// Snapshot returns the current configuration and host list as one snapshot. It
-// is computed anew only after a change of either.
+// Snapshot returns the current snapshot of Config with leaving hosts applied. It
+// is recomputed only after a change of the configuration or the host set.
 func (o *Overlay) Snapshot() *bramleytack.Snapshot {
 	config, leaving := o.Config.Snapshot(), o.Hosts.Leaving()
 	if leaving.Len() == 0 {
@@ -33,12 +34,12 @@
 	if c := o.cached.Load(); c != nil && c.config == config && c.leaving == leaving {
 		return c.snapshot
 	}
-	next := &overlaid{config: config, leaving: leaving, snapshot: apply(config, leaving)}
+	next := &mergedSnapshot{config: config, leaving: leaving, snapshot: markLeaving(config, leaving)}
 	o.cached.Store(next)
 	return next.snapshot
 }
 
-func apply(config *bramleytack.Snapshot, leaving *Leaving) *bramleytack.Snapshot {
+func markLeaving(config *bramleytack.Snapshot, leaving *Leaving) *bramleytack.Snapshot {
 	s := *config
 	s.Upstreams = maps.Clone(config.Upstreams)
 	for id, u := range config.Upstreams {
--- a/bthost/watcher.go
+++ b/bthost/watcher.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// readTimeout bounds one read of the list.
+	// readTimeout bounds one read of the host list.
 	readTimeout = time.Second
-	// DefaultPeriod is the time between two reads of one host.
+	// DefaultPeriod is the time between two reads of the list by one daemon.
 	DefaultPeriod = 2 * time.Second
-	// newsValidity is how long the news of a peer holds without an own list
-	// that confirms it.
-	newsValidity = 30 * time.Second
+	// peerReportValidity is how long a peer's report counts if no list read here
+	// confirms or contradicts it.
+	peerReportValidity = 30 * time.Second
 )
 
 // Leaving is the set of leaving hosts. It is immutable.
 type Leaving struct {
-	// Number rises with each change of the set.
+	// Number increases by one with each change of the set.
 	Number uint64
 	addrs  map[netip.Addr]struct{}
 }
 
-// Has says whether a host is leaving.
+// Has reports whether a host is leaving.
 func (l *Leaving) Has(a netip.Addr) bool {
 	_, ok := l.addrs[a]
 	return ok
@@ -37,26 +37,29 @@
 // Len returns the number of leaving hosts.
 func (l *Leaving) Len() int { return len(l.addrs) }
 
-// Watcher reads the host list. Store and Timer are required.
+// Watcher polls the host list. Store and Timer are required. Its methods are safe
+// for concurrent use.
 type Watcher struct {
 	Store bramleytack.Store
 	Timer bramleytack.Timer
 	// Period returns the time to the next read. Nil takes DefaultPeriod.
 	Period func() time.Duration
-	// OnChange is called when the set changes. It may be nil.
+	// OnChange is called when the set changes, with the lock held: it must not
+	// call ListedLeaving or MergePeerReport. It may be nil.
 	OnChange func(*Leaving)
 
 	mu sync.Mutex
-	// listed are the leaving hosts of the last list, and at its time by the
-	// platform's clock.
-	listed map[netip.Addr]struct{}
-	at     time.Time
-	// news are the hosts that peers reported, with the end of validity.
-	news    map[netip.Addr]time.Time
-	current atomic.Pointer[Leaving]
+	// listedLeaving holds the leaving hosts of the last list, and listedAt the
+	// time of that list by the platform's clock.
+	listedLeaving map[netip.Addr]struct{}
+	listedAt      time.Time
+	// peerReports holds the leaving hosts that peers reported, and when each
+	// report expires.
+	peerReports map[netip.Addr]time.Time
+	current     atomic.Pointer[Leaving]
 }
 
-// Run reads the list until the context ends.
+// Run polls the list until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for {
 		w.read(ctx)
@@ -70,7 +73,7 @@
 	}
 }
 
-// Leaving returns the current set.
+// Leaving returns the leaving hosts by the last list and by reports of peers.
 func (w *Watcher) Leaving() *Leaving {
 	if l := w.current.Load(); l != nil {
 		return l
@@ -78,31 +81,32 @@
 	return &Leaving{}
 }
 
-// ListedLeaving returns the leaving hosts of the last list, to tell peers.
+// ListedLeaving returns the leaving hosts of the last list, sorted, without those
+// that only peers have reported. It is what this daemon reports to its peers.
 func (w *Watcher) ListedLeaving() []netip.Addr {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	list := make([]netip.Addr, 0, len(w.listed))
-	for a := range w.listed {
+	list := make([]netip.Addr, 0, len(w.listedLeaving))
+	for a := range w.listedLeaving {
 		list = append(list, a)
 	}
 	slices.SortFunc(list, netip.Addr.Compare)
 	return list
 }
 
-// MergePeerReport takes leaving hosts from a peer.
+// MergePeerReport adds the leaving hosts that a peer has read.
 func (w *Watcher) MergePeerReport(addrs []netip.Addr) {
 	if len(addrs) == 0 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.news == nil {
-		w.news = map[netip.Addr]time.Time{}
+	if w.peerReports == nil {
+		w.peerReports = map[netip.Addr]time.Time{}
 	}
-	until := w.Timer.Now().Add(newsValidity)
+	until := w.Timer.Now().Add(peerReportValidity)
 	for _, a := range addrs {
-		w.news[a] = until
+		w.peerReports[a] = until
 	}
 	w.publish()
 }
@@ -112,43 +116,43 @@
 	defer cancel()
 	list, err := w.Store.Hosts(ctx)
 	if err != nil {
-		// The last list stays in force while the platform is away.
+		// The last list remains in use while the platform is unavailable.
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if list.At.Before(w.at) {
+	if list.At.Before(w.listedAt) {
 		return
 	}
-	w.at = list.At
-	w.listed = map[netip.Addr]struct{}{}
+	w.listedAt = list.At
+	w.listedLeaving = map[netip.Addr]struct{}{}
 	for _, h := range list.Hosts {
 		if h.Leaving {
-			w.listed[h.Addr] = struct{}{}
+			w.listedLeaving[h.Addr] = struct{}{}
 		} else {
-			delete(w.news, h.Addr)
+			delete(w.peerReports, h.Addr)
 		}
 	}
 	w.publish()
 }
 
-// publish makes a new set if it differs from the current one. The caller holds
-// mu.
+// publish stores a new set if it differs from the current one, and drops expired
+// reports of peers. The caller holds mu.
 func (w *Watcher) publish() {
 	now := w.Timer.Now()
 	addrs := map[netip.Addr]struct{}{}
-	for a := range w.listed {
+	for a := range w.listedLeaving {
 		addrs[a] = struct{}{}
 	}
-	for a, until := range w.news {
+	for a, until := range w.peerReports {
 		if now.Before(until) {
 			addrs[a] = struct{}{}
 		} else {
-			delete(w.news, a)
+			delete(w.peerReports, a)
 		}
 	}
 	old := w.Leaving()
-	if same(old.addrs, addrs) {
+	if sameAddrs(old.addrs, addrs) {
 		return
 	}
 	next := &Leaving{Number: old.Number + 1, addrs: addrs}
@@ -158,7 +162,7 @@
 	}
 }
 
-func same(a, b map[netip.Addr]struct{}) bool {
+func sameAddrs(a, b map[netip.Addr]struct{}) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/bthost/watcher_test.go
+++ b/bthost/watcher_test.go
@@ -18,35 +18,35 @@
 	addrB = netip.MustParseAddr("10.0.0.2")
 )
 
-type fixed struct{ s *bramleytack.Snapshot }
+type fixedSnapshots struct{ s *bramleytack.Snapshot }
 
-func (f fixed) Snapshot() *bramleytack.Snapshot { return f.s }
+func (f fixedSnapshots) Snapshot() *bramleytack.Snapshot { return f.s }
 
-// Guards against new work on an upstream whose host is leaving, while the list
-// lags, goes back in time or can't be read.
+// Guards against new work on an upstream whose host is leaving, also if an older
+// list follows a newer one or the list can't be read.
 func TestOverlay(t *testing.T) {
 	cases := []struct {
-		name string
-		act  func(store *btmemstore.Store, w *Watcher)
-		want bool
+		name  string
+		apply func(store *btmemstore.Store, w *Watcher)
+		want  bool
 	}{
-		{"host stays", func(*btmemstore.Store, *Watcher) {}, true},
-		{"host leaves", func(s *btmemstore.Store, _ *Watcher) { list(s, 2, true) }, false},
-		{"host comes back", func(s *btmemstore.Store, _ *Watcher) { list(s, 2, true); wait(); list(s, 3, false) }, true},
-		{"older list after a newer one", func(s *btmemstore.Store, _ *Watcher) { list(s, 2, true); wait(); list(s, 1, false) }, false},
-		{"platform goes away", func(s *btmemstore.Store, _ *Watcher) {
-			list(s, 2, true)
-			wait()
+		{"host is live", func(*btmemstore.Store, *Watcher) {}, true},
+		{"host is leaving", func(s *btmemstore.Store, _ *Watcher) { setHosts(s, 2, true) }, false},
+		{"host is live again", func(s *btmemstore.Store, _ *Watcher) { setHosts(s, 2, true); waitForReads(); setHosts(s, 3, false) }, true},
+		{"older list after a newer one", func(s *btmemstore.Store, _ *Watcher) { setHosts(s, 2, true); waitForReads(); setHosts(s, 1, false) }, false},
+		{"platform becomes unavailable", func(s *btmemstore.Store, _ *Watcher) {
+			setHosts(s, 2, true)
+			waitForReads()
 			s.SetFault(btmemstore.Fault{Down: true})
 			time.Sleep(time.Hour)
 		}, false},
-		{"peer saw it first", func(s *btmemstore.Store, w *Watcher) {
+		{"only a peer has read the list", func(s *btmemstore.Store, w *Watcher) {
 			s.SetFault(btmemstore.Fault{Down: true})
 			w.MergePeerReport([]netip.Addr{addrA})
 		}, false},
-		{"own newer list contradicts a peer", func(s *btmemstore.Store, w *Watcher) {
+		{"later own list contradicts a peer", func(s *btmemstore.Store, w *Watcher) {
 			w.MergePeerReport([]netip.Addr{addrA})
-			list(s, 2, false)
+			setHosts(s, 2, false)
 		}, true},
 	}
 	for _, c := range cases {
@@ -55,28 +55,29 @@
 				timers := bttimer.New(1)
 				defer timers.Close()
 				store := btmemstore.New()
-				list(store, 1, false)
+				setHosts(store, 1, false)
 				w := &Watcher{Store: store, Timer: timers}
 				go w.Run(t.Context())
-				wait()
-				o := &Overlay{Config: fixed{snapshot()}, Hosts: w}
-				c.act(store, w)
-				wait()
+				waitForReads()
+				o := &Overlay{Config: fixedSnapshots{snapshot()}, Hosts: w}
+				c.apply(store, w)
+				waitForReads()
 				assert.Equal(t, o.Snapshot().Accepts("a"), c.want)
 				assert.Assert(t, o.Snapshot().Accepts("b"))
-				assert.Assert(t, o.Snapshot() == o.Snapshot(), "snapshot is computed anew without a change")
+				assert.Assert(t, o.Snapshot() == o.Snapshot(), "snapshot is recomputed without a change")
 			})
 		})
 	}
 }
 
-func wait() {
+func waitForReads() {
 	time.Sleep(2 * DefaultPeriod)
 	synctest.Wait()
 }
 
-// list stores a host list of a time in seconds in which host A may be leaving.
-func list(s *btmemstore.Store, second int64, leaving bool) {
+// setHosts stores a host list with hosts A and B and the given time in seconds.
+// leaving applies to host A.
+func setHosts(s *btmemstore.Store, second int64, leaving bool) {
 	s.SetHosts(bramleytack.HostList{At: time.Unix(second, 0), Hosts: []bramleytack.HostState{
 		{Addr: addrA, Leaving: leaving}, {Addr: addrB},
 	}})
