--- a/btprobe/probe.go
+++ b/btprobe/probe.go
@@ -8,10 +8,10 @@
 	"bramleytack"
 )
 
-// jitterShare is the part of a period by which a probe varies.
-const jitterShare = 5
+// jitterDivisor bounds the jitter: each period is shortened by up to a fifth.
+const jitterDivisor = 5
 
-// probe reads the reports of one upstream.
+// probe polls the reports of one upstream.
 type probe struct {
 	prober *Prober
 	record *bramleytack.Upstream
@@ -25,7 +25,7 @@
 func (b *probe) loop(ctx context.Context) {
 	p := b.prober
 	defer p.wg.Done()
-	tick := p.Timer.Every(p.period(), p.period()/jitterShare)
+	tick := p.Timer.Every(p.period(), p.period()/jitterDivisor)
 	defer tick.Stop()
 	for {
 		b.read(ctx)
@@ -42,19 +42,21 @@
 	defer cancel()
 	r, err := bramleytack.LoadOf(ctx, b.prober.Upstreams, b.record)
 	if err != nil {
+		// A read that ends because the probe was stopped is no failure.
 		if ctx.Err() == nil || context.Cause(ctx) == context.DeadlineExceeded {
-			b.miss(err)
+			b.recordMiss(err)
 		}
 		return
 	}
-	if b.hit() && b.prober.OnHealthChange != nil {
+	if b.recordReport() && b.prober.OnHealthChange != nil {
 		b.prober.OnHealthChange(b.record, false, nil)
 	}
 	b.prober.OnReport(b.record, r)
 }
 
-// hit counts a report. It says whether the upstream had failed before.
-func (b *probe) hit() bool {
+// recordReport resets the count of missed reports. It reports whether the
+// upstream had failed before.
+func (b *probe) recordReport() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	failed := b.missed >= MissedLimit
@@ -63,12 +65,14 @@
 	return failed
 }
 
-func (b *probe) miss(err error) {
+// recordMiss counts a failed read. It calls OnHealthChange only when the limit is
+// reached, not for the failures that follow.
+func (b *probe) recordMiss(err error) {
 	b.mu.Lock()
 	b.missed++
-	first := b.missed == MissedLimit
+	limitReached := b.missed == MissedLimit
 	b.mu.Unlock()
-	if first && b.prober.OnHealthChange != nil {
+	if limitReached && b.prober.OnHealthChange != nil {
 		b.prober.OnHealthChange(b.record, true, err)
 	}
 }
--- a/btprobe/prober.go
+++ b/btprobe/prober.go
@@ -10,39 +10,41 @@
 
 // Defaults of a Prober.
 const (
-	// DefaultPeriod is the time between two reports of an upstream.
+	// DefaultPeriod is the time between two reads of an upstream's report.
 	DefaultPeriod = 500 * time.Millisecond
-	// DefaultTimeout bounds the reading of one report.
+	// DefaultTimeout bounds one read of a report.
 	DefaultTimeout = time.Second
-	// MissedLimit is the number of missed reports after which an upstream is
-	// taken for failed.
+	// MissedLimit is the number of failed reads in a row after which an upstream
+	// counts as failed.
 	MissedLimit = 3
 	// updatePeriod is how often the set of probed upstreams is compared with
 	// the snapshot.
 	updatePeriod = 250 * time.Millisecond
 )
 
-// Prober reads load reports. Snapshots, Upstreams, Timer and OnReport are
-// required.
+// Prober polls load reports. Snapshots, Upstreams, Timer and OnReport are
+// required. OnReport and OnHealthChange run on several goroutines at once.
 type Prober struct {
 	Snapshots bramleytack.Snapshots
 	Upstreams bramleytack.Upstreams
 	Timer     bramleytack.Timer
-	// ShouldProbe says whether an upstream is probed. Nil probes all.
+	// ShouldProbe reports whether an upstream is probed. Nil probes all.
 	ShouldProbe func(bramleytack.UpstreamID) bool
 	// OnReport receives each report.
 	OnReport func(u *bramleytack.Upstream, r bramleytack.LoadReport)
-	// OnHealthChange is called when an upstream fails and when it answers again. It may
-	// be nil.
+	// OnHealthChange is called when an upstream fails, with the error of the last
+	// read, and when it recovers. It may be nil.
 	OnHealthChange func(u *bramleytack.Upstream, failed bool, err error)
-	Period         time.Duration
+	// Period is the time between two reads. Zero takes DefaultPeriod.
+	Period time.Duration
 
 	mu     sync.Mutex
 	probes map[bramleytack.UpstreamID]*probe
 	wg     sync.WaitGroup
 }
 
-// Run keeps the set of probed upstreams until the context ends.
+// Run probes the upstreams until the context ends, and returns when all probes
+// have stopped.
 func (p *Prober) Run(ctx context.Context) {
 	tick := p.Timer.Every(updatePeriod, 0)
 	defer tick.Stop()
@@ -76,7 +78,8 @@
 	return list
 }
 
-// update starts and stops probes.
+// update stops the probes of upstreams that were removed, moved to another
+// address or no longer pass ShouldProbe, and starts the missing ones.
 func (p *Prober) update(ctx context.Context) {
 	s := p.Snapshots.Snapshot()
 	p.mu.Lock()
@@ -85,13 +88,13 @@
 		p.probes = map[bramleytack.UpstreamID]*probe{}
 	}
 	for id, b := range p.probes {
-		if u := s.Upstreams[id]; u == nil || u.Addr != b.record.Addr || !p.wanted(id) {
+		if u := s.Upstreams[id]; u == nil || u.Addr != b.record.Addr || !p.shouldProbe(id) {
 			b.stop()
 			delete(p.probes, id)
 		}
 	}
 	for id, u := range s.Upstreams {
-		if p.probes[id] != nil || !p.wanted(id) {
+		if p.probes[id] != nil || !p.shouldProbe(id) {
 			continue
 		}
 		ctx, stop := context.WithCancel(ctx)
@@ -102,7 +105,7 @@
 	}
 }
 
-func (p *Prober) wanted(id bramleytack.UpstreamID) bool {
+func (p *Prober) shouldProbe(id bramleytack.UpstreamID) bool {
 	return p.ShouldProbe == nil || p.ShouldProbe(id)
 }
 
