--- a/btremote/claims.go
+++ b/btremote/claims.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// abandonTimeout bounds the abandoning of a claim whose begin got no answer.
+	// abandonTimeout bounds the abandoning of a claim whose begin got no reply.
 	abandonTimeout = 5 * time.Second
-	// finishTimeout bounds the wait for a remote owner before the outcome is
-	// recorded here.
+	// finishTimeout bounds the wait for a remote owner, after which this daemon
+	// records the outcome itself.
 	finishTimeout = time.Second
-	// maxSentAnswer is the largest answer in bytes that is sent to a remote
-	// owner. It fits into a frame. Larger ones are recorded here.
-	maxSentAnswer = 1 << 20
+	// maxRemoteResponseBytes is the largest response body that is sent to a remote
+	// owner; it fits into a frame. For larger ones this daemon records the outcome
+	// itself.
+	maxRemoteResponseBytes = 1 << 20
 )
 
-// Claims routes claims to the owners of their shards. Correctness does not
-// depend on who commits a claim: the owner only gathers many of them into one
-// write.
+// Claims routes claims to the owners of their shards. Any daemon may commit a claim
+// safely: the owner only exists to batch many claims into one write.
 type Claims struct {
 	Self   bramleytack.HostID
 	Node   *btpeer.Node
@@ -35,12 +35,13 @@
 	Shards []*btclaim.Shard
 }
 
-// Register makes the daemon answer the claims of other entries.
+// Register registers the handler for claims of other entries.
 func (c *Claims) Register(mux *btpeer.Mux) { btpeer.Handle(mux, c.handle) }
 
-// Owner returns the claims of a shard, for btclaim.Router.
+// Owner returns the claims of a shard, local or at another daemon, for
+// btclaim.Router.
 func (c *Claims) Owner(shard int) (btclaim.Claims, error) {
-	// Upstream ids hold no slash, so the name of a shard never is one.
+	// Upstream ids contain no slash, so this name is never that of an upstream.
 	owner, _ := c.Cell.Owner(bramleytack.UpstreamID(fmt.Sprintf("claim/%d", shard)))
 	if owner == "" || owner == c.Self {
 		return c.Shards[shard], nil
@@ -56,7 +57,7 @@
 		if m.GetResult() == btwire.ClaimStatus_CLAIM_STATUS_NOT_RUN {
 			outcome = bramleytack.NotRun
 		}
-		err := shard.Finish(ctx, key, btclaim.AttemptID(m.GetAttempt()), outcome, decodeAnswer(m.GetAnswer()))
+		err := shard.Finish(ctx, key, btclaim.AttemptID(m.GetAttempt()), outcome, decodeResponse(m.GetAnswer()))
 		return &btwire.ClaimReply{}, err
 	}
 	fp, ok := decodeFingerprint(m.GetFingerprint())
@@ -70,15 +71,15 @@
 	return encodeDecision(d), nil
 }
 
-// remoteShard implements btclaim.Claims at another daemon.
+// remoteShard implements btclaim.Claims for a shard that another daemon owns.
 type remoteShard struct {
 	node  *btpeer.Node
 	owner bramleytack.HostID
 	local *btclaim.Shard
 }
 
-// Begin implements btclaim.Claims. Without an answer the call is not run and
-// its claim is abandoned, if it came to be.
+// Begin implements btclaim.Claims. If no reply arrives, the call does not run, and
+// the claim that the owner may have committed is abandoned.
 func (s *remoteShard) Begin(
 	ctx context.Context, key btclaim.ClaimKey, body bramleytack.Fingerprint, entry bramleytack.HostID, request bramleytack.RequestID,
 ) (btclaim.Decision, error) {
@@ -91,7 +92,7 @@
 	}
 	e := bramleytack.AsError(err)
 	if e.Outcome == bramleytack.NotRun && e.Code == bramleytack.CodeNoUpstream {
-		// No byte reached the owner.
+		// No byte was sent to the owner, so this daemon can begin the claim.
 		return s.local.Begin(ctx, key, body, entry, request)
 	}
 	if e.Outcome != bramleytack.NotRun {
@@ -102,33 +103,33 @@
 	return btclaim.Decision{}, e.WithOutcome(bramleytack.NotRun)
 }
 
-// Finish implements btclaim.Claims. Without an answer it records the outcome
-// itself: the first outcome of an attempt stays.
+// Finish implements btclaim.Claims. If no reply arrives, this daemon records the
+// outcome itself. That is safe, since the first outcome of an attempt is kept.
 func (s *remoteShard) Finish(
 	ctx context.Context, key btclaim.ClaimKey, attempt btclaim.AttemptID, outcome bramleytack.Outcome, response *bramleytack.Response,
 ) error {
 	if outcome == bramleytack.Unknown {
 		return nil
 	}
-	if response != nil && len(response.Body) > maxSentAnswer {
+	if response != nil && len(response.Body) > maxRemoteResponseBytes {
 		return s.local.Finish(ctx, key, attempt, outcome, response)
 	}
 	m := &btwire.ClaimRequest{
 		Phase: btwire.ClaimPhase_CLAIM_PHASE_FINISH, Workspace: string(key.Workspace), Service: key.Service, Key: key.Key,
-		Attempt: string(attempt), Result: btwire.ClaimStatus_CLAIM_STATUS_DONE, Answer: encodeAnswer(response),
+		Attempt: string(attempt), Result: btwire.ClaimStatus_CLAIM_STATUS_DONE, Answer: encodeResponse(response),
 	}
 	if outcome == bramleytack.NotRun {
 		m.Result = btwire.ClaimStatus_CLAIM_STATUS_NOT_RUN
 	}
-	remote, cancel := context.WithTimeout(ctx, finishTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
-	if _, err := btpeer.Call[btwire.ClaimRequest, btwire.ClaimReply](remote, s.node, s.owner, m); err == nil {
+	if _, err := btpeer.Call[btwire.ClaimRequest, btwire.ClaimReply](callCtx, s.node, s.owner, m); err == nil {
 		return nil
 	}
 	return s.local.Finish(ctx, key, attempt, outcome, response)
 }
 
-var statusOfKind = map[btclaim.DecisionKind]btwire.ClaimStatus{
+var claimStatuses = map[btclaim.DecisionKind]btwire.ClaimStatus{
 	btclaim.NoOutcome:       btwire.ClaimStatus_CLAIM_STATUS_NO_OUTCOME,
 	btclaim.Run:             btwire.ClaimStatus_CLAIM_STATUS_GRANTED,
 	btclaim.Replay:          btwire.ClaimStatus_CLAIM_STATUS_DONE,
@@ -138,9 +139,9 @@
 }
 
 func encodeDecision(d btclaim.Decision) *btwire.ClaimReply {
-	m := &btwire.ClaimReply{Status: statusOfKind[d.Kind], Attempt: string(d.Attempt)}
+	m := &btwire.ClaimReply{Status: claimStatuses[d.Kind], Attempt: string(d.Attempt)}
 	if d.Kind == btclaim.Replay || d.Kind == btclaim.ResponseNotKept {
-		m.Answer = encodeAnswer(d.Response)
+		m.Answer = encodeResponse(d.Response)
 		if m.Answer == nil {
 			m.Answer = &btwire.StoredAnswer{}
 		}
@@ -150,7 +151,8 @@
 	return m
 }
 
-// decodeDecision runs nothing on a status that it does not know.
+// decodeDecision decodes a status that it does not know as NoOutcome, so that the
+// call does not run.
 func decodeDecision(m *btwire.ClaimReply) btclaim.Decision {
 	d := btclaim.Decision{Kind: btclaim.NoOutcome, Attempt: btclaim.AttemptID(m.GetAttempt())}
 	switch m.GetStatus() {
@@ -164,14 +166,14 @@
 		d.Kind = btclaim.ResponseNotKept
 		d.Status = int(m.GetAnswer().GetStatus())
 		copy(d.Digest[:], m.GetAnswer().GetDigest())
-		if d.Response = decodeAnswer(m.GetAnswer()); d.Response != nil {
+		if d.Response = decodeResponse(m.GetAnswer()); d.Response != nil {
 			d.Kind = btclaim.Replay
 		}
 	}
 	return d
 }
 
-func encodeAnswer(r *bramleytack.Response) *btwire.StoredAnswer {
+func encodeResponse(r *bramleytack.Response) *btwire.StoredAnswer {
 	if r == nil {
 		return nil
 	}
@@ -183,7 +185,7 @@
 	return m
 }
 
-func decodeAnswer(m *btwire.StoredAnswer) *bramleytack.Response {
+func decodeResponse(m *btwire.StoredAnswer) *bramleytack.Response {
 	if m == nil || !m.GetBodyKept() {
 		return nil
 	}
--- a/btremote/claims_test.go
+++ b/btremote/claims_test.go
@@ -13,7 +13,7 @@
 	"bramleytack/btclaim"
 )
 
-// claimant is one entry's view of the only shard.
+// claimant begins and finishes claims of shard 0 as one entry.
 type claimant struct {
 	s     *sim
 	entry int
@@ -38,20 +38,20 @@
 	return btclaim.ClaimKey{Workspace: "w", Service: "orders", Key: key}
 }
 
-// withClaims runs f with an entry that does not own the shard and the number of
-// the owner.
+// withClaims runs f in a cell of three members, with an entry that does not own the
+// shard and the index of the owner.
 func withClaims(t *testing.T, name string, f func(t *testing.T, s *sim, c claimant, owner int)) {
 	t.Run(name, func(t *testing.T) {
-		inCell(t, 3, 1, nil, func(s *sim) {
+		withCell(t, 3, 1, nil, func(s *sim) {
 			owner := s.owner("claim/0")
 			f(s.t, s, claimant{s: s, entry: (owner + 1) % 3}, owner)
 		})
 	})
 }
 
-// again checks that a key which was refused as not run can be claimed, and
-// then runs for one request only.
-func again(t *testing.T, c claimant, key string) {
+// assertClaimable checks that a key whose call was rejected as not run can be
+// claimed, and that only one request then runs.
+func assertClaimable(t *testing.T, c claimant, key string) {
 	t.Helper()
 	d, err := c.begin(key, "again")
 	assert.NilError(t, err)
@@ -63,56 +63,56 @@
 	assert.Equal(t, d.Kind, btclaim.Replay)
 }
 
-// Guards against a begin without an answer that keeps its key taken although
-// its call is refused as not run, and against two runs of one key.
+// Guards against a begin without a reply whose claim blocks the key although the
+// call was rejected as not run, and against two runs of one key.
 func TestLostBegin(t *testing.T) {
-	withClaims(t, "the answer is lost after the commit", func(t *testing.T, s *sim, c claimant, owner int) {
+	withClaims(t, "the reply is lost after the commit", func(t *testing.T, s *sim, c claimant, owner int) {
 		s.network.Block(s.members[owner].addr.Addr(), s.members[c.entry].addr.Addr(), true)
 		_, err := c.begin("k", "first")
 		assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
 		assert.Assert(t, err != nil)
 		s.block(owner, false, false)
-		time.Sleep(start)
-		again(t, c, "k")
+		time.Sleep(settleTime)
+		assertClaimable(t, c, "k")
 	})
 	withClaims(t, "the owner cannot commit", func(t *testing.T, s *sim, c claimant, owner int) {
-		s.members[owner].store.off.Store(true)
+		s.members[owner].store.down.Store(true)
 		_, err := c.begin("k", "first")
 		assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
 		assert.Assert(t, err != nil)
-		s.members[owner].store.off.Store(false)
-		time.Sleep(start)
-		again(t, c, "k")
+		s.members[owner].store.down.Store(false)
+		time.Sleep(settleTime)
+		assertClaimable(t, c, "k")
 	})
-	withClaims(t, "the owner is cut off from everything", func(t *testing.T, s *sim, c claimant, owner int) {
+	withClaims(t, "the owner is cut off from peers and store", func(t *testing.T, s *sim, c claimant, owner int) {
 		s.block(owner, true, true)
-		s.members[owner].store.off.Store(true)
+		s.members[owner].store.down.Store(true)
 		_, err := c.begin("k", "first")
 		assert.Equal(t, bramleytack.OutcomeOf(err), bramleytack.NotRun)
 		assert.Assert(t, err != nil)
 		s.block(owner, false, false)
-		s.members[owner].store.off.Store(false)
-		time.Sleep(start)
-		again(t, c, "k")
+		s.members[owner].store.down.Store(false)
+		time.Sleep(settleTime)
+		assertClaimable(t, c, "k")
 	})
 }
 
-// Guards against an outcome that is lost with its owner, so that the key runs
-// again or its answer is not replayed.
+// Guards against an outcome that is lost when its owner fails, so that the key runs
+// again or its response is not replayed.
 func TestLostFinish(t *testing.T) {
 	for name, fault := range map[string]func(s *sim, c claimant, owner int){
 		"no fault": func(*sim, claimant, int) {},
-		"the answer is lost": func(s *sim, c claimant, owner int) {
+		"the reply is lost": func(s *sim, c claimant, owner int) {
 			s.network.Block(s.members[owner].addr.Addr(), s.members[c.entry].addr.Addr(), true)
 		},
-		"the owner is cut off": func(s *sim, _ claimant, owner int) { s.block(owner, true, true) },
+		"the owner is cut off from peers": func(s *sim, _ claimant, owner int) { s.block(owner, true, true) },
 		"the owner is cut off from the store": func(s *sim, _ claimant, owner int) {
-			s.members[owner].store.off.Store(true)
+			s.members[owner].store.down.Store(true)
 		},
 		"the owner dies": func(s *sim, _ claimant, owner int) { s.members[owner].stop() },
-		"the owner moves": func(s *sim, _ claimant, owner int) {
+		"another member becomes the owner": func(s *sim, _ claimant, owner int) {
 			s.members[owner].stop()
-			time.Sleep(2 * start)
+			time.Sleep(2 * settleTime)
 		},
 	} {
 		withClaims(t, name, func(t *testing.T, s *sim, c claimant, owner int) {
@@ -121,14 +121,14 @@
 			assert.Equal(t, d.Kind, btclaim.Run)
 			fault(s, c, owner)
 			assert.NilError(t, c.finish("k", d.Attempt, bramleytack.Ran, []byte("ok")))
-			time.Sleep(2 * start)
+			time.Sleep(2 * settleTime)
 			other := claimant{s: s, entry: (owner + 2) % 3}
 			// An owner without the store may not know the outcome yet.
 			d, _ = other.begin("k", "second")
 			assert.Assert(t, d.Kind != btclaim.Run)
 			s.block(owner, false, false)
-			s.members[owner].store.off.Store(false)
-			time.Sleep(start)
+			s.members[owner].store.down.Store(false)
+			time.Sleep(settleTime)
 			d, err = other.begin("k", "third")
 			assert.NilError(t, err)
 			assert.Equal(t, d.Kind, btclaim.Replay)
@@ -137,10 +137,10 @@
 	}
 }
 
-// Guards against answers that exceed a frame and take their outcome with them.
-func TestLargeAnswers(t *testing.T) {
+// Guards against the loss of an outcome whose response is larger than a frame.
+func TestLargeResponses(t *testing.T) {
 	withClaims(t, "sizes", func(t *testing.T, _ *sim, c claimant, _ int) {
-		for _, n := range []int{0, 4 << 10, 4<<10 + 1, maxSentAnswer, maxSentAnswer + 1, 6 << 20} {
+		for _, n := range []int{0, 4 << 10, 4<<10 + 1, maxRemoteResponseBytes, maxRemoteResponseBytes + 1, 6 << 20} {
 			key := fmt.Sprint(n)
 			d, err := c.begin(key, "first")
 			assert.NilError(t, err)
--- a/btremote/codec.go
+++ b/btremote/codec.go
@@ -9,7 +9,8 @@
 	"bramleytack/btwire"
 )
 
-// Clocks of two hosts are not compared: times travel as durations from now.
+// The clocks of two hosts are not compared. Messages carry times as durations
+// relative to now.
 
 func encodeReservation(r bramleytack.Reservation, view uint64, now time.Time) *btwire.Reserve {
 	return &btwire.Reserve{
--- a/btremote/configsync.go
+++ b/btremote/configsync.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	// fanOut is the number of members that each member passes changes on to.
+	// fanOut is the number of members to which each member pushes changes.
 	fanOut = 2
-	// pushTimeout bounds one push. A lost push is made good by a pull.
+	// pushTimeout bounds one push or pull. A lost push is made up for by a pull.
 	pushTimeout = time.Second
-	// pullDelay gives a push the time to arrive before a member that learned of
-	// a higher revision pulls it.
+	// pullDelay gives a push time to arrive before a member pulls a revision that a
+	// peer has announced.
 	pullDelay = 200 * time.Millisecond
-	// pullPeriod is the least time between two pulls.
-	pullPeriod = 250 * time.Millisecond
-	// maxPushBytes bounds one message. A larger change is pulled in parts.
+	// pullRetryDelay is the pause after a pull that failed without any progress.
+	pullRetryDelay = 250 * time.Millisecond
+	// maxPushBytes bounds the objects of one message. A larger change is pulled in
+	// several parts.
 	maxPushBytes = 2 << 20
 )
 
-// ConfigSync passes the configuration on inside a cell. The members form a binary
-// tree with the coordinator at its root, so each hears of a change once and
-// tells at most two others. A member that learns of a higher revision from a
-// heartbeat pulls what it missed.
+// ConfigSync distributes the configuration inside a cell. The members form a
+// binary tree with the coordinator at its root, and each pushes a change once to
+// at most two others. A member that sees a higher revision in a heartbeat or
+// an exchange pulls the changes that it lacks.
 type ConfigSync struct {
 	Self   bramleytack.HostID
 	Node   *btpeer.Node
 	Cell   *btview.Cell
 	Config *btconfig.Config
 	Timer  bramleytack.Timer
-	// Complete says whether this member has seen a whole configuration. Nil
-	// takes it as complete.
+	// Complete reports whether this member has loaded a whole configuration. Nil
+	// means that it has.
 	Complete func() bool
 
-	// behind receives the host of a higher revision.
-	behind chan bramleytack.HostID
+	// peersAhead receives the host of a peer that has a higher revision.
+	peersAhead chan bramleytack.HostID
 }
 
-// Register makes the daemon take pushes and answer pulls. It must be called
-// before Run.
+// Register registers the handlers for pushes and pulls. It must be called before
+// Run.
 func (s *ConfigSync) Register(mux *btpeer.Mux) {
-	s.behind = make(chan bramleytack.HostID, 1)
+	s.peersAhead = make(chan bramleytack.HostID, 1)
 	btpeer.Handle(mux, s.handlePush)
 	btpeer.Handle(mux, s.handlePull)
 }
 
-// ObserveRevision records that a peer has a revision.
+// ObserveRevision schedules a pull from a peer if its revision is higher than the
+// own one. It does not block.
 func (s *ConfigSync) ObserveRevision(host bramleytack.HostID, r bramleytack.Revision) {
 	if r <= s.Config.Digest().Revision {
 		return
 	}
 	select {
-	case s.behind <- host:
+	case s.peersAhead <- host:
 	default:
 	}
 }
@@ -72,7 +74,7 @@
 		select {
 		case <-changes:
 			pushed = s.push(ctx, pushed)
-		case host := <-s.behind:
+		case host := <-s.peersAhead:
 			s.catchUp(ctx, host)
 		case <-ctx.Done():
 			return
@@ -80,18 +82,19 @@
 	}
 }
 
-// push sends the changes after a revision to the member's children. It returns
-// the revision that was sent.
+// push sends the changes after a revision to the member's children. Changes of more
+// than maxPushBytes are not sent; the children pull them. It returns the revision up
+// to which changes need no further push.
 func (s *ConfigSync) push(ctx context.Context, after bramleytack.Revision) bramleytack.Revision {
 	revision := s.Config.Digest().Revision
 	if after == 0 {
-		// A member that starts knows nothing that its children lack.
+		// A member that has just started has no changes that its children lack.
 		return revision
 	}
 	m := &btwire.ConfigObjects{
 		Host: string(s.Self), After: uint64(after), Revision: uint64(revision), Objects: encodeObjects(s.Config.Since(after)),
 	}
-	if size(m) > maxPushBytes {
+	if payloadBytes(m) > maxPushBytes {
 		return revision
 	}
 	for _, child := range s.children() {
@@ -102,7 +105,7 @@
 	return revision
 }
 
-// children returns the members that this one passes changes on to.
+// children returns the members to which this one pushes changes.
 func (s *ConfigSync) children() []bramleytack.HostID {
 	v := s.Cell.View()
 	if v == nil {
@@ -111,7 +114,7 @@
 	return children(treeOrder(v), s.Self)
 }
 
-// treeOrder lists the members with the coordinator first.
+// treeOrder returns the members sorted by host, with the coordinator first.
 func treeOrder(v *btview.View) []bramleytack.HostID {
 	order := make([]bramleytack.HostID, 0, len(v.Members))
 	for _, m := range v.Members {
@@ -125,8 +128,8 @@
 	return order
 }
 
-// children returns the children of a member in a tree that is laid out like a
-// heap.
+// children returns the children of a member in a tree that is stored as an array,
+// like a binary heap.
 func children(order []bramleytack.HostID, self bramleytack.HostID) []bramleytack.HostID {
 	i := slices.Index(order, self)
 	if i < 0 {
@@ -136,27 +139,27 @@
 	return order[first:min(first+fanOut, len(order))]
 }
 
-// catchUp pulls what a peer has and this member lacks.
+// catchUp pulls the changes that a peer has and this member lacks.
 func (s *ConfigSync) catchUp(ctx context.Context, host bramleytack.HostID) {
 	if s.Timer.Sleep(ctx, pullDelay) != nil {
 		return
 	}
 	own := s.Config.Digest()
 	if !s.pull(ctx, host, own.Revision, false) && s.Config.Digest().Revision == own.Revision {
-		_ = s.Timer.Sleep(ctx, pullPeriod)
+		_ = s.Timer.Sleep(ctx, pullRetryDelay)
 	}
 }
 
-// Reconcile pulls everything from a peer whose digest differs at the same
-// revision: this member or the peer missed a change and knows later ones.
+// Reconcile pulls everything from a peer whose digest differs at the same revision:
+// one of the two missed a change but has later ones.
 func (s *ConfigSync) Reconcile(ctx context.Context, host bramleytack.HostID, d btconfig.Digest) {
 	if own := s.Config.Digest(); own.Revision == d.Revision && own.Hash != d.Hash {
 		s.pull(ctx, host, 0, true)
 	}
 }
 
-// Load takes the whole configuration from a peer that has it, for a member that
-// starts while the store is away. It says whether that succeeded.
+// Load pulls the whole configuration from a peer, for a member that starts while the
+// store is unavailable. It reports whether that succeeded.
 func (s *ConfigSync) Load(ctx context.Context, host bramleytack.HostID) bool {
 	return s.pull(ctx, host, 0, true)
 }
@@ -184,9 +187,9 @@
 	own := s.Config.Digest().Revision
 	s.Config.Apply(decodeObjects(m.GetObjects()))
 	if bramleytack.Revision(m.GetAfter()) > own {
-		// A change before these is missing.
+		// Changes before the pushed ones are missing here.
 		select {
-		case s.behind <- from:
+		case s.peersAhead <- from:
 		default:
 		}
 	}
@@ -215,7 +218,7 @@
 	return reply, nil
 }
 
-func size(m *btwire.ConfigObjects) int {
+func payloadBytes(m *btwire.ConfigObjects) int {
 	n := 0
 	for _, o := range m.GetObjects() {
 		n += len(o.GetData())
--- a/btremote/configsync_test.go
+++ b/btremote/configsync_test.go
@@ -17,10 +17,10 @@
 	"bramleytack/btwire"
 )
 
-// everywhere is the time in which a change is in force at all members.
-const everywhere = 3 * time.Second
+// propagationTime bounds the time until a change has reached all members.
+const propagationTime = 3 * time.Second
 
-func record(t testing.TB, name string, models ...string) bramleytack.Object {
+func upstreamObject(t testing.TB, name string, models ...string) bramleytack.Object {
 	t.Helper()
 	o, err := btrecord.Encode(btrecord.Upstreams.New(bramleytack.Upstream{
 		ID: bramleytack.UpstreamID(name), Kind: bramleytack.KindEngine, Addr: netip.MustParseAddrPort("127.0.0.1:9000"),
@@ -30,9 +30,9 @@
 	return o
 }
 
-// write changes a record in the store.
-func (s *sim) write(name string, models ...string) bramleytack.Revision {
-	o := record(s.t, name, models...)
+// putUpstream creates or updates a record in the store.
+func (s *sim) putUpstream(name string, models ...string) bramleytack.Revision {
+	o := upstreamObject(s.t, name, models...)
 	current, err := s.store.Get(s.t.Context(), o.Key)
 	if err != nil {
 		current.Version = 0
@@ -42,14 +42,14 @@
 	return v
 }
 
-// assertEqual checks that all members have a revision and the same records.
-func (s *sim) assertEqual(v bramleytack.Revision) {
+// assertSynced checks that all members have at least a revision and equal digests.
+func (s *sim) assertSynced(v bramleytack.Revision) {
 	s.t.Helper()
 	want := s.members[0].config.Digest()
 	for _, m := range s.members {
 		d := m.config.Digest()
-		assert.Check(s.t, d.Revision >= v, "%s is at %d of %d", m.host, d.Revision, v)
-		assert.Check(s.t, d == want, "%s has %s, not %s", m.host, d, want)
+		assert.Check(s.t, d.Revision >= v, "%s has revision %d, want %d", m.host, d.Revision, v)
+		assert.Check(s.t, d == want, "%s has digest %s, want %s", m.host, d, want)
 	}
 }
 
@@ -59,30 +59,30 @@
 	return s.members[slices.IndexFunc(s.members, func(m *member) bool { return m.host == h })]
 }
 
-// plain returns a member that does not watch the store.
-func (s *sim) plain() int {
+// nonWatcher returns the index of a member that does not watch the store.
+func (s *sim) nonWatcher() int {
 	watchers := s.members[0].cell.View().Watchers()
 	return slices.IndexFunc(s.members, func(m *member) bool { return !slices.Contains(watchers, m.host) })
 }
 
 // Guards against changes that reach a member late or not at all, and against
-// members that go back to an earlier state.
+// members that go back to an earlier revision.
 func TestConfigSync(t *testing.T) {
 	for _, f := range []struct {
 		name  string
 		apply func(s *sim)
 	}{
 		{"no fault", func(*sim) {}},
-		{"the coordinator's watch is silent", func(s *sim) { s.coordinator().store.mute.Store(true) }},
+		{"the coordinator's watch delivers nothing", func(s *sim) { s.coordinator().store.muted.Store(true) }},
 		{"pushes are lost", func(s *sim) {
 			for i := range s.members {
 				go s.cutPushes(i)
 			}
 		}},
 		{"a member's links were cut and restored", func(s *sim) {
-			i := s.plain()
+			i := s.nonWatcher()
 			s.block(i, true, true)
-			s.write("while-cut", "m")
+			s.putUpstream("while-cut", "m")
 			time.Sleep(time.Second)
 			s.block(i, false, false)
 			time.Sleep(3 * time.Second)
@@ -90,23 +90,23 @@
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				inCell(t, 6, seed, nil, func(s *sim) {
+				withCell(t, 6, seed, nil, func(s *sim) {
 					r := rand.New(rand.NewPCG(seed, 5))
-					s.write("first", "m")
-					time.Sleep(everywhere)
+					s.putUpstream("first", "m")
+					time.Sleep(propagationTime)
 					f.apply(s)
 					last := make([]bramleytack.Revision, len(s.members))
 					for n := range 8 {
-						v := s.write(fmt.Sprint("u", r.IntN(4)), fmt.Sprint("m", n))
+						v := s.putUpstream(fmt.Sprint("u", r.IntN(4)), fmt.Sprint("m", n))
 						for range 30 {
-							time.Sleep(everywhere / 30)
+							time.Sleep(propagationTime / 30)
 							for i, m := range s.members {
 								own := m.config.Digest().Revision
-								assert.Check(s.t, own >= last[i], "%s goes back", m.host)
+								assert.Check(s.t, own >= last[i], "%s goes back to an earlier revision", m.host)
 								last[i] = own
 							}
 						}
-						s.assertEqual(v)
+						s.assertSynced(v)
 					}
 				})
 			}
@@ -114,7 +114,7 @@
 	}
 }
 
-// cutPushes cuts a member's connections often, so that pushes get lost.
+// cutPushes cuts a member's connections repeatedly, so that pushes are lost.
 func (s *sim) cutPushes(i int) {
 	for range 20 {
 		if s.timers.Sleep(s.members[i].ctx, 900*time.Millisecond) != nil {
@@ -124,16 +124,16 @@
 	}
 }
 
-// Guards against members that differ at the same revision for good.
+// Guards against members whose digests differ at the same revision permanently.
 func TestFullPull(t *testing.T) {
-	inCell(t, 4, 1, nil, func(s *sim) {
-		s.write("a", "m")
-		time.Sleep(everywhere)
-		m := s.members[s.plain()]
-		// The member missed a change and knows a later one.
-		missed := record(s.t, "missed", "m")
+	withCell(t, 4, 1, nil, func(s *sim) {
+		s.putUpstream("a", "m")
+		time.Sleep(propagationTime)
+		m := s.members[s.nonWatcher()]
+		// The member missed a change but has a later one.
+		missed := upstreamObject(s.t, "missed", "m")
 		missed.Version = m.config.Digest().Revision + 1
-		later := record(s.t, "later", "m")
+		later := upstreamObject(s.t, "later", "m")
 		later.Version = missed.Version + 1
 		s.block(slices.Index(s.members, m), true, true)
 		for _, other := range s.members {
@@ -143,52 +143,52 @@
 			}
 			other.config.Apply(list)
 		}
-		// Pushes end without effect before the links return.
+		// Lets pending pushes time out before the links are restored.
 		time.Sleep(1500 * time.Millisecond)
 		s.block(slices.Index(s.members, m), false, false)
-		time.Sleep(everywhere)
-		s.assertEqual(later.Version)
+		time.Sleep(propagationTime)
+		s.assertSynced(later.Version)
 		_, ok := m.config.Get(missed.Key)
 		assert.Assert(s.t, ok)
 	})
 }
 
-// Guards against changes that are larger than one frame.
+// Guards against the failure of a pull whose changes are larger than one frame.
 func TestPullInParts(t *testing.T) {
-	inCell(t, 4, 1, nil, func(s *sim) {
-		s.write("a", "m")
-		time.Sleep(everywhere)
-		i := s.plain()
+	withCell(t, 4, 1, nil, func(s *sim) {
+		s.putUpstream("a", "m")
+		time.Sleep(propagationTime)
+		i := s.nonWatcher()
 		s.block(i, true, true)
 		var v bramleytack.Revision
 		for n := range 12 {
-			v = s.write(fmt.Sprint("large", n), strings.Repeat("m", 700<<10))
+			v = s.putUpstream(fmt.Sprint("large", n), strings.Repeat("m", 700<<10))
 		}
 		time.Sleep(time.Second)
 		s.block(i, false, false)
-		time.Sleep(2 * everywhere)
-		s.assertEqual(v)
+		time.Sleep(2 * propagationTime)
+		s.assertSynced(v)
 		reply, err := s.members[(i+1)%4].spread.handlePull(s.t.Context(), "x", &btwire.ConfigPull{Full: true})
 		assert.NilError(s.t, err)
-		assert.Assert(s.t, reply.GetMore() && size(reply) <= maxPushBytes, "%d bytes", size(reply))
+		assert.Assert(s.t, reply.GetMore() && payloadBytes(reply) <= maxPushBytes, "%d bytes", payloadBytes(reply))
 	})
 }
 
 // Guards against pulls that restore a deleted record.
 func TestDeletedStaysDeleted(t *testing.T) {
-	inCell(t, 4, 1, nil, func(s *sim) {
-		v := s.write("a", "m")
-		time.Sleep(everywhere)
-		key := record(s.t, "a").Key
+	withCell(t, 4, 1, nil, func(s *sim) {
+		v := s.putUpstream("a", "m")
+		time.Sleep(propagationTime)
+		key := upstreamObject(s.t, "a").Key
 		v, err := s.store.Delete(s.t.Context(), key, v)
 		assert.NilError(s.t, err)
-		time.Sleep(everywhere)
-		s.assertEqual(v)
-		old := record(s.t, "a", "m")
+		time.Sleep(propagationTime)
+		s.assertSynced(v)
+		old := upstreamObject(s.t, "a", "m")
 		old.Version = v - 1
 		s.members[0].config.Apply([]bramleytack.Object{old})
-		time.Sleep(everywhere)
-		s.assertEqual(v)
+		time.Sleep(propagationTime)
+		s.assertSynced(v)
 		assert.Assert(s.t, btconfig.New().Digest() != s.members[0].config.Digest())
 	})
 }
--- a/btremote/doc.go
+++ b/btremote/doc.go
@@ -1,18 +1,17 @@
-// Package btremote connects the parts of a daemon with their counterparts on
+// Package btremote connects the components of a daemon with their counterparts on
 // the other daemons of its cell, over peer links.
 //
-// Owners reserves with the daemon that owns an upstream, Claims begins and
-// finishes claims with the daemon that owns their shard, ConfigSync passes on the
-// configuration, Exchange tells each member the state of every other one, and
-// Suspects shares what is known of crashing requests. Each registers its
-// handlers at a btpeer.Mux and does the calling side as well.
+// Owners makes reservations at the daemon that owns an upstream, Claims begins and
+// finishes claims at the daemon that owns their shard, ConfigSync distributes the
+// configuration, Exchange exchanges state between all members, and Suspects
+// distributes reports of requests that crash upstreams. Each type implements both
+// sides: it registers its handlers at a btpeer.Mux and sends the requests.
 //
-// # Lost answers
+// # Lost replies
 //
-// A reservation whose answer was lost is released again. A claim whose begin
-// got no answer is abandoned in the store, so that the caller can send its call
-// again. The configuration is compared by digest, so a lost message delays a
-// change and never loses it.
+// A reservation whose reply was lost is released. A claim whose begin got no reply
+// is abandoned in the store, so that the caller can send its call again.
+// Configurations are compared by digest, so a lost message only delays a change.
 //
 // # Usage
 //
--- a/btremote/exchange.go
+++ b/btremote/exchange.go
@@ -21,9 +21,8 @@
 )
 
 const (
-	// exchangesPerSecond is the rate at which a member starts exchanges. The
-	// period of one peer grows with the cell, so that the cost of a member does
-	// not.
+	// exchangesPerSecond is the rate at which a member starts exchanges. The period
+	// for one peer grows with the cell, so that the cost for a member does not.
 	exchangesPerSecond = 6
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = time.Second
@@ -31,7 +30,7 @@
 	stateValidity = 15 * time.Second
 )
 
-// State is what a member tells the others of itself.
+// State is the state that a member sends to its peers.
 type State struct {
 	Host          bramleytack.HostID          `json:"host"`
 	EntryAddr     netip.AddrPort              `json:"entryAddr"`
@@ -46,12 +45,13 @@
 	View     uint64          `json:"view"`
 	Streams  int             `json:"streams"`
 	Queued   int             `json:"queued"`
-	// Seen is the time of the last exchange.
+	// Seen is the time of the last exchange by the clock of this daemon.
 	Seen time.Time `json:"seen"`
 }
 
 // Exchange keeps the states of all members of the cell. Each member calls the
-// others in turn; the state of either side travels in one exchange.
+// others in turn. The request and the reply of an exchange each carry the state of
+// their sender.
 type Exchange struct {
 	Self       bramleytack.HostID
 	Node       *btpeer.Node
@@ -65,12 +65,12 @@
 	// OwnState returns this member's state.
 	OwnState func() State
 
-	mu     sync.Mutex
-	states map[bramleytack.HostID]State
-	next   int
+	mu        sync.Mutex
+	states    map[bramleytack.HostID]State
+	peerIndex int
 }
 
-// Register makes the daemon answer exchanges.
+// Register registers the handler for exchanges.
 func (e *Exchange) Register(mux *btpeer.Mux) { btpeer.Handle(mux, e.handle) }
 
 // Run exchanges states until the context ends.
@@ -80,15 +80,15 @@
 	for {
 		select {
 		case <-tick.C():
-			e.step(ctx)
+			e.exchangeNext(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// States returns this member's state and the valid ones of the others, in the
-// order of their hosts.
+// States returns this member's state and those of the peers whose last exchange is
+// recent enough, sorted by host.
 func (e *Exchange) States() []State {
 	now := e.Timer.Now()
 	own := e.OwnState()
@@ -110,13 +110,13 @@
 	return list
 }
 
-// Period returns the time between two exchanges with the same peer that this
-// member starts.
+// Period returns the time between two exchanges that this member starts with the
+// same peer.
 func (e *Exchange) Period() time.Duration {
 	return time.Duration(max(len(e.peers()), 1)) * time.Second / exchangesPerSecond
 }
 
-// Forget drops the states of hosts that are not members.
+// Forget drops the states of hosts that are not members of the view.
 func (e *Exchange) Forget(v *btview.View) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,30 +141,30 @@
 	return peers
 }
 
-// step exchanges states with the next peer.
-func (e *Exchange) step(ctx context.Context) {
+// exchangeNext exchanges states with the next peer.
+func (e *Exchange) exchangeNext(ctx context.Context) {
 	peers := e.peers()
 	if len(peers) == 0 {
 		return
 	}
-	e.next++
-	host := peers[e.next%len(peers)]
+	e.peerIndex++
+	host := peers[e.peerIndex%len(peers)]
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := btpeer.Call[btwire.Exchange, btwire.Exchange](ctx, e.Node, host, e.encode())
+	reply, err := btpeer.Call[btwire.Exchange, btwire.Exchange](ctx, e.Node, host, e.encodeState())
 	if err != nil {
 		return
 	}
-	e.take(host, reply)
+	e.applyState(host, reply)
 	e.ConfigSync.Reconcile(ctx, host, digestOf(reply))
 }
 
 func (e *Exchange) handle(_ context.Context, from bramleytack.HostID, m *btwire.Exchange) (*btwire.Exchange, error) {
-	e.take(from, m)
-	return e.encode(), nil
+	e.applyState(from, m)
+	return e.encodeState(), nil
 }
 
-func (e *Exchange) take(host bramleytack.HostID, m *btwire.Exchange) {
+func (e *Exchange) applyState(host bramleytack.HostID, m *btwire.Exchange) {
 	now := e.Timer.Now()
 	entry, _ := netip.ParseAddrPort(m.GetEntryAddr())
 	admin, _ := netip.ParseAddrPort(m.GetAdminAddr())
@@ -192,7 +192,7 @@
 	e.ConfigSync.ObserveRevision(host, bramleytack.Revision(m.GetConfigRevision()))
 }
 
-func (e *Exchange) encode() *btwire.Exchange {
+func (e *Exchange) encodeState() *btwire.Exchange {
 	now := e.Timer.Now()
 	own := e.OwnState()
 	uptime, _ := time.ParseDuration(own.Uptime)
--- a/btremote/fuzz_test.go
+++ b/btremote/fuzz_test.go
@@ -10,8 +10,8 @@
 	"bramleytack/btwire"
 )
 
-// Guards against messages of peers that crash a daemon, and against a claim's
-// reply of unknown content that lets a call run.
+// Guards against messages of peers that crash a daemon, and against a reply with an
+// unknown claim status that lets a call run.
 func FuzzCodecs(f *testing.F) {
 	seed, err := proto.Marshal(&btwire.ClaimReply{Status: btwire.ClaimStatus_CLAIM_STATUS_DONE, Answer: &btwire.StoredAnswer{BodyKept: true}})
 	if err != nil {
--- a/btremote/owners.go
+++ b/btremote/owners.go
@@ -21,18 +21,20 @@
 	// reserveTimeout bounds the wait for an owner. A reservation takes one
 	// round trip between failure domains.
 	reserveTimeout = 500 * time.Millisecond
-	// adoptTimeout bounds what a change of ownership may delay the
+	// adoptTimeout bounds how long reporting reservations to new owners delays the
 	// acknowledgement of a view.
 	adoptTimeout = 1500 * time.Millisecond
-	// adoptRetry spaces the tries to reach an owner that has just restarted.
+	// adoptRetry is the time between two attempts to reach an owner, such as one
+	// that has just restarted.
 	adoptRetry = 100 * time.Millisecond
-	// maxEarly bounds the adoptions that wait for a view.
-	maxEarly = 4096
-	// unownedRetry is the advice while an upstream has no owner: about the time
-	// to the next view.
-	unownedRetry = time.Second
-	// roomQueue bounds the news of room that wait to be sent.
-	roomQueue = 256
+	// maxPendingAdoptions bounds the adoptions that wait for a view. Further ones
+	// are dropped.
+	maxPendingAdoptions = 4096
+	// unownedRetryAfter is the retry-after value while an upstream has no owner,
+	// about the time until the next view.
+	unownedRetryAfter = time.Second
+	// freeSlotQueueSize bounds the notifications of free slots that wait to be sent.
+	freeSlotQueueSize = 256
 )
 
 // Owners implements bramleytack.Owner for all upstreams of a cell.
@@ -49,139 +51,142 @@
 	OnFreeCapacity func(bramleytack.UpstreamID)
 
 	mu   sync.Mutex
-	held map[bramleytack.GrantID]heldGrant
-	// early holds adoptions that arrived before this member installed the view
-	// that makes it the owner.
-	early map[bramleytack.GrantID]heldGrant
-	// refused holds the entries that were refused for lack of room, oldest
-	// first, by upstream.
-	refused map[bramleytack.UpstreamID][]bramleytack.HostID
-	rooms   chan room
+	held map[bramleytack.GrantID]heldReservation
+	// pendingAdoptions holds adoptions that arrived before this member installed
+	// the view that makes it the owner.
+	pendingAdoptions map[bramleytack.GrantID]heldReservation
+	// rejectedEntries holds, by upstream, the entries to which a reservation was
+	// denied for lack of capacity, oldest first.
+	rejectedEntries map[bramleytack.UpstreamID][]bramleytack.HostID
+	freeSlots       chan freeSlot
 }
 
-// room is news for an entry that was refused.
-type room struct {
+// freeSlot is a notification for an entry that lacked capacity before.
+type freeSlot struct {
 	entry    bramleytack.HostID
 	upstream bramleytack.UpstreamID
 }
 
-// heldGrant is a reservation that this entry uses.
-type heldGrant struct {
+// heldReservation is a reservation that an entry uses.
+type heldReservation struct {
 	reservation bramleytack.Reservation
 	instance    bramleytack.InstanceID
-	asked       time.Time
+	requestedAt time.Time
 }
 
-// Register makes the daemon answer the reservations of other entries.
+// Register registers the handlers for reservations of other entries. It must be
+// called before Run.
 func (o *Owners) Register(mux *btpeer.Mux) {
 	btpeer.Handle(mux, o.handleReserve)
 	btpeer.Handle(mux, o.handleRelease)
 	btpeer.Handle(mux, o.handleAdopt)
-	btpeer.Handle(mux, o.handleRoom)
-	o.rooms = make(chan room, roomQueue)
+	btpeer.Handle(mux, o.handleFreeCapacity)
+	o.freeSlots = make(chan freeSlot, freeSlotQueueSize)
 }
 
-// Run tells entries of room until the context ends.
+// Run notifies entries of free slots until the context ends.
 func (o *Owners) Run(ctx context.Context) {
 	for {
 		select {
-		case r := <-o.rooms:
-			o.tell(ctx, r)
+		case slot := <-o.freeSlots:
+			o.notifyEntry(ctx, slot)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (o *Owners) tell(ctx context.Context, r room) {
-	if r.entry == o.Self {
-		o.announce(r.upstream)
+func (o *Owners) notifyEntry(ctx context.Context, slot freeSlot) {
+	if slot.entry == o.Self {
+		o.notifyFreeCapacity(slot.upstream)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	// An entry that misses the news tries again by itself after a while.
-	_, _ = btpeer.Call[btwire.Room, btwire.RoomReply](ctx, o.Node, r.entry, &btwire.Room{Upstream: string(r.upstream)})
+	// A lost notification needs no retry: the entry tries again by itself after a
+	// while.
+	_, _ = btpeer.Call[btwire.Room, btwire.RoomReply](ctx, o.Node, slot.entry, &btwire.Room{Upstream: string(slot.upstream)})
 }
 
-func (o *Owners) announce(id bramleytack.UpstreamID) {
+func (o *Owners) notifyFreeCapacity(id bramleytack.UpstreamID) {
 	if o.OnFreeCapacity != nil {
 		o.OnFreeCapacity(id)
 	}
 }
 
-// reserveHere reserves an owned upstream for an entry and remembers the entry
-// if there is no room.
-func (o *Owners) reserveHere(ctx context.Context, r bramleytack.Reservation) (bramleytack.Grant, error) {
+// reserveLocal makes a reservation at an upstream that this daemon owns. If there
+// is no free capacity, the entry is notified after a later release.
+func (o *Owners) reserveLocal(ctx context.Context, r bramleytack.Reservation) (bramleytack.Grant, error) {
 	g, err := o.Table.Reserve(ctx, r)
 	if err == nil || bramleytack.AsError(err).Code != bramleytack.CodeOverloaded {
 		return g, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.refused == nil {
-		o.refused = map[bramleytack.UpstreamID][]bramleytack.HostID{}
+	if o.rejectedEntries == nil {
+		o.rejectedEntries = map[bramleytack.UpstreamID][]bramleytack.HostID{}
 	}
-	if list := o.refused[r.Upstream]; !slices.Contains(list, r.Entry) {
-		o.refused[r.Upstream] = append(list, r.Entry)
+	if list := o.rejectedEntries[r.Upstream]; !slices.Contains(list, r.Entry) {
+		o.rejectedEntries[r.Upstream] = append(list, r.Entry)
 	}
 	return g, err
 }
 
-// releaseHere frees a place of an owned upstream and offers it to the entry
-// that has waited longest.
-func (o *Owners) releaseHere(ctx context.Context, v bramleytack.Release) error {
+// releaseLocal frees a slot of an upstream that this daemon owns and notifies the
+// entry that has waited longest. If the queue is full, a later release notifies it.
+func (o *Owners) releaseLocal(ctx context.Context, v bramleytack.Release) error {
 	err := o.Table.Release(ctx, v)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	list := o.refused[v.Upstream]
+	list := o.rejectedEntries[v.Upstream]
 	if len(list) == 0 {
 		return err
 	}
 	select {
-	case o.rooms <- room{entry: list[0], upstream: v.Upstream}:
-		o.refused[v.Upstream] = slices.Delete(list, 0, 1)
+	case o.freeSlots <- freeSlot{entry: list[0], upstream: v.Upstream}:
+		o.rejectedEntries[v.Upstream] = slices.Delete(list, 0, 1)
 	default:
 	}
 	return err
 }
 
-func (o *Owners) handleRoom(_ context.Context, _ bramleytack.HostID, m *btwire.Room) (*btwire.RoomReply, error) {
-	o.announce(bramleytack.UpstreamID(m.GetUpstream()))
+func (o *Owners) handleFreeCapacity(_ context.Context, _ bramleytack.HostID, m *btwire.Room) (*btwire.RoomReply, error) {
+	o.notifyFreeCapacity(bramleytack.UpstreamID(m.GetUpstream()))
 	return &btwire.RoomReply{}, nil
 }
 
 // Reserve implements bramleytack.Owner.
 func (o *Owners) Reserve(ctx context.Context, r bramleytack.Reservation) (bramleytack.Grant, error) {
-	asked := o.Timer.Now()
+	requestedAt := o.Timer.Now()
 	owner, view := o.Cell.Owner(r.Upstream)
 	var g bramleytack.Grant
 	var err error
 	switch owner {
 	case "":
 		return g, bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "upstream %s has no owner", r.Upstream).
-			WithRetryAfter(unownedRetry)
+			WithRetryAfter(unownedRetryAfter)
 	case o.Self:
-		g, err = o.reserveHere(ctx, r)
+		g, err = o.reserveLocal(ctx, r)
 	default:
-		g, err = o.reserveAt(ctx, owner, view, r, asked)
+		g, err = o.reserveRemote(ctx, owner, view, r, requestedAt)
 	}
 	if err != nil {
 		return g, err
 	}
-	// The grant is held before the view is looked at: a view that is installed
-	// in between is either seen here or its owner is told of the grant.
-	o.hold(r, g, asked)
+	// The reservation is recorded before the view is read. If a view is installed
+	// in between, either this check sees it or ReportReservations sends the
+	// reservation to the new owner.
+	o.addHeld(r, g, requestedAt)
 	if _, current := o.Cell.Owner(r.Upstream); g.ViewNumber < current {
-		o.giveUp(ctx, owner, r)
+		o.releaseAtOwners(ctx, owner, r)
 		return bramleytack.Grant{}, bramleytack.NewError(bramleytack.CodeNoUpstream, bramleytack.NotRun, "grant is of an earlier view")
 	}
 	return g, nil
 }
 
-// giveUp ends a reservation at the owner that granted it and at the current one,
-// which may have adopted it.
-func (o *Owners) giveUp(ctx context.Context, owner bramleytack.HostID, r bramleytack.Reservation) {
+// releaseAtOwners releases a reservation at the owner that granted it and at the
+// current owner, which may have adopted it.
+func (o *Owners) releaseAtOwners(ctx context.Context, owner bramleytack.HostID, r bramleytack.Reservation) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), reserveTimeout)
 	defer cancel()
 	v := bramleytack.Release{Grant: r.Grant, Upstream: r.Upstream, Outcome: bramleytack.NotRun}
@@ -189,19 +194,20 @@
 		if owner == o.Self {
 			_ = o.Table.Release(ctx, v)
 		} else {
-			_ = o.releaseAt(ctx, owner, v)
+			_ = o.releaseRemote(ctx, owner, v)
 		}
 	}
 	_ = o.Release(ctx, v)
 }
 
-// reserveAt asks the owner over its link.
-func (o *Owners) reserveAt(
-	ctx context.Context, owner bramleytack.HostID, view uint64, r bramleytack.Reservation, asked time.Time,
+// reserveRemote makes a reservation at another daemon. The validity of the grant
+// counts from requestedAt, by the clock of this daemon.
+func (o *Owners) reserveRemote(
+	ctx context.Context, owner bramleytack.HostID, view uint64, r bramleytack.Reservation, requestedAt time.Time,
 ) (bramleytack.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	reply, err := btpeer.Call[btwire.Reserve, btwire.ReserveReply](ctx, o.Node, owner, encodeReservation(r, view, asked))
+	reply, err := btpeer.Call[btwire.Reserve, btwire.ReserveReply](ctx, o.Node, owner, encodeReservation(r, view, requestedAt))
 	if err != nil {
 		return bramleytack.Grant{}, err
 	}
@@ -215,7 +221,7 @@
 	m := reply.GetGrant()
 	return bramleytack.Grant{
 		ID: r.Grant, Upstream: r.Upstream, Instance: bramleytack.InstanceID(m.GetInstance()),
-		ViewNumber: m.GetViewNumber(), ValidUntil: asked.Add(m.GetValidFor().AsDuration()),
+		ViewNumber: m.GetViewNumber(), ValidUntil: requestedAt.Add(m.GetValidFor().AsDuration()),
 	}, nil
 }
 
@@ -229,13 +235,13 @@
 	case "":
 		return nil
 	case o.Self:
-		return o.releaseHere(ctx, v)
+		return o.releaseLocal(ctx, v)
 	default:
-		return o.releaseAt(ctx, owner, v)
+		return o.releaseRemote(ctx, owner, v)
 	}
 }
 
-func (o *Owners) releaseAt(ctx context.Context, owner bramleytack.HostID, v bramleytack.Release) error {
+func (o *Owners) releaseRemote(ctx context.Context, owner bramleytack.HostID, v bramleytack.Release) error {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	_, err := btpeer.Call[btwire.Release, btwire.ReleaseReply](ctx, o.Node, owner, &btwire.Release{
@@ -245,23 +251,24 @@
 	return err
 }
 
-func (o *Owners) hold(r bramleytack.Reservation, g bramleytack.Grant, asked time.Time) {
+func (o *Owners) addHeld(r bramleytack.Reservation, g bramleytack.Grant, requestedAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.held == nil {
-		o.held = map[bramleytack.GrantID]heldGrant{}
+		o.held = map[bramleytack.GrantID]heldReservation{}
 	}
-	o.held[r.Grant] = heldGrant{reservation: r, instance: g.Instance, asked: asked}
+	o.held[r.Grant] = heldReservation{reservation: r, instance: g.Instance, requestedAt: requestedAt}
 }
 
-// ReportReservations tells the new owners which reservations this entry holds. It is called
-// when a view is installed, before the view is acknowledged.
+// ReportReservations sends the reservations that this entry holds to their current
+// owners. It must be called when a view is installed, before the view is
+// acknowledged.
 func (o *Owners) ReportReservations(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	now := o.Timer.Now()
-	o.adopt(o.takeEarly(now), now)
-	byOwner := map[bramleytack.HostID][]heldGrant{}
+	o.adoptLocal(o.takePendingAdoptions(now), now)
+	byOwner := map[bramleytack.HostID][]heldReservation{}
 	o.mu.Lock()
 	for _, h := range o.held {
 		owner, _ := o.Cell.Owner(h.reservation.Upstream)
@@ -270,22 +277,23 @@
 	o.mu.Unlock()
 	var sent sync.WaitGroup
 	for owner, list := range byOwner {
-		sent.Go(func() { o.adoptAt(ctx, owner, list, now) })
+		sent.Go(func() { o.sendAdopt(ctx, owner, list, now) })
 	}
 	sent.Wait()
 }
 
-// adoptAt tells one owner. A lost message is made good by the load report,
-// which a new owner waits for.
-func (o *Owners) adoptAt(ctx context.Context, owner bramleytack.HostID, list []heldGrant, now time.Time) {
+// sendAdopt sends reservations to one owner and retries until ctx ends. If all
+// attempts fail, the owner counts the requests by the load report, for which a new
+// owner waits.
+func (o *Owners) sendAdopt(ctx context.Context, owner bramleytack.HostID, list []heldReservation, now time.Time) {
 	if owner == "" || owner == o.Self {
-		o.adopt(list, now)
+		o.adoptLocal(list, now)
 		return
 	}
 	m := &btwire.Adopt{Entry: string(o.Self)}
 	for _, h := range list {
 		m.Reservations = append(m.Reservations, &btwire.HeldReservation{
-			Reserve: encodeReservation(h.reservation, 0, now), Instance: string(h.instance), Age: durationpb.New(now.Sub(h.asked)),
+			Reserve: encodeReservation(h.reservation, 0, now), Instance: string(h.instance), Age: durationpb.New(now.Sub(h.requestedAt)),
 		})
 	}
 	for {
@@ -298,44 +306,46 @@
 	}
 }
 
-// takeEarly returns the early adoptions and forgets them.
-func (o *Owners) takeEarly(now time.Time) []heldGrant {
+// takePendingAdoptions removes the pending adoptions and returns those whose
+// deadline has not passed.
+func (o *Owners) takePendingAdoptions(now time.Time) []heldReservation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var list []heldGrant
-	for _, h := range o.early {
+	var list []heldReservation
+	for _, h := range o.pendingAdoptions {
 		if now.Before(h.reservation.Deadline) {
 			list = append(list, h)
 		}
 	}
-	clear(o.early)
+	clear(o.pendingAdoptions)
 	return list
 }
 
-// keepEarly keeps the adoptions of an upstream that is not owned here yet.
-func (o *Owners) keepEarly(h heldGrant) {
+// addPendingAdoption stores an adoption of an upstream that this daemon does not
+// own yet.
+func (o *Owners) addPendingAdoption(h heldReservation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.early == nil {
-		o.early = map[bramleytack.GrantID]heldGrant{}
+	if o.pendingAdoptions == nil {
+		o.pendingAdoptions = map[bramleytack.GrantID]heldReservation{}
 	}
-	if len(o.early) < maxEarly {
-		o.early[h.reservation.Grant] = h
+	if len(o.pendingAdoptions) < maxPendingAdoptions {
+		o.pendingAdoptions[h.reservation.Grant] = h
 	}
 }
 
-func (o *Owners) adopt(list []heldGrant, now time.Time) {
+func (o *Owners) adoptLocal(list []heldReservation, now time.Time) {
 	byUpstream := map[bramleytack.UpstreamID][]btowner.HeldReservation{}
 	for _, h := range list {
 		id := h.reservation.Upstream
-		byUpstream[id] = append(byUpstream[id], btowner.HeldReservation{Reservation: h.reservation, Instance: h.instance, Age: now.Sub(h.asked)})
+		byUpstream[id] = append(byUpstream[id], btowner.HeldReservation{Reservation: h.reservation, Instance: h.instance, Age: now.Sub(h.requestedAt)})
 	}
 	for id, held := range byUpstream {
 		o.Table.Adopt(id, held)
 	}
 }
 
-// ReservationCount returns the number of reservations that this entry uses.
+// ReservationCount returns the number of reservations that this entry holds.
 func (o *Owners) ReservationCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -360,9 +370,10 @@
 func (o *Owners) handleReserve(ctx context.Context, from bramleytack.HostID, m *btwire.Reserve) (*btwire.ReserveReply, error) {
 	now := o.Timer.Now()
 	r := decodeReservation(m, now)
-	// The certificate names the entry; what the message says of it does not count.
+	// The entry is identified by its certificate. The entry field of the message is
+	// ignored.
 	r.Entry = from
-	g, err := o.reserveHere(ctx, r)
+	g, err := o.reserveLocal(ctx, r)
 	reply := &btwire.ReserveReply{ViewNumber: g.ViewNumber}
 	if d, ok := o.Table.Digest(r.Upstream); ok {
 		reply.Digests = append(reply.Digests, encodeDigest(d, now))
@@ -380,9 +391,9 @@
 
 func (o *Owners) handleRelease(ctx context.Context, _ bramleytack.HostID, m *btwire.Release) (*btwire.ReleaseReply, error) {
 	o.mu.Lock()
-	delete(o.early, bramleytack.GrantID(m.GetGrant()))
+	delete(o.pendingAdoptions, bramleytack.GrantID(m.GetGrant()))
 	o.mu.Unlock()
-	err := o.releaseHere(ctx, bramleytack.Release{
+	err := o.releaseLocal(ctx, bramleytack.Release{
 		Grant: bramleytack.GrantID(m.GetGrant()), Upstream: bramleytack.UpstreamID(m.GetUpstream()),
 		Outcome: bramleytack.ParseOutcome(m.GetOutcome()), Failed: m.GetFailed(), Tokens: int(m.GetTokens()),
 		Abandoned: m.GetAbandoned(), FirstToken: m.GetFirstToken().AsDuration(),
@@ -392,20 +403,20 @@
 
 func (o *Owners) handleAdopt(_ context.Context, from bramleytack.HostID, m *btwire.Adopt) (*btwire.AdoptReply, error) {
 	now := o.Timer.Now()
-	list := make([]heldGrant, 0, len(m.GetReservations()))
+	list := make([]heldReservation, 0, len(m.GetReservations()))
 	for _, h := range m.GetReservations() {
 		r := decodeReservation(h.GetReserve(), now)
 		r.Entry = from
-		held := heldGrant{
+		held := heldReservation{
 			reservation: r, instance: bramleytack.InstanceID(h.GetInstance()),
-			asked: now.Add(-h.GetAge().AsDuration()),
+			requestedAt: now.Add(-h.GetAge().AsDuration()),
 		}
 		if o.Table.Owns(r.Upstream) {
 			list = append(list, held)
 		} else {
-			o.keepEarly(held)
+			o.addPendingAdoption(held)
 		}
 	}
-	o.adopt(list, now)
+	o.adoptLocal(list, now)
 	return &btwire.AdoptReply{}, nil
 }
--- a/btremote/owners_test.go
+++ b/btremote/owners_test.go
@@ -19,16 +19,16 @@
 
 const coldLimit = 2
 
-// seeds keeps the usual run short under the race detector. With 17 the test
-// runs 102 interleavings.
+// seeds is 1 by default to keep the run short under the race detector. With 17 the
+// test runs 102 interleavings.
 var seeds = flag.Uint64("seeds", 1, "seeded runs of each fault in TestColdLimit")
 
-// engine is an upstream that counts what runs.
+// engine is an upstream that counts the requests that run at the same time.
 type engine struct {
-	mu      sync.Mutex
-	running map[bramleytack.RequestID]time.Time
-	worst   int
-	started int
+	mu         sync.Mutex
+	running    map[bramleytack.RequestID]time.Time
+	maxRunning int
+	started    int
 }
 
 func (e *engine) run(id bramleytack.RequestID, until time.Time) {
@@ -36,11 +36,11 @@
 	defer e.mu.Unlock()
 	e.running[id] = until
 	e.started++
-	e.pruneLocked()
-	e.worst = max(e.worst, len(e.running))
+	e.removeFinishedLocked()
+	e.maxRunning = max(e.maxRunning, len(e.running))
 }
 
-func (e *engine) pruneLocked() {
+func (e *engine) removeFinishedLocked() {
 	for id, until := range e.running {
 		if !time.Now().Before(until) {
 			delete(e.running, id)
@@ -51,7 +51,7 @@
 func (e *engine) load(instance string) bramleytack.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pruneLocked()
+	e.removeFinishedLocked()
 	r := bramleytack.LoadReport{Instance: bramleytack.InstanceID(instance), At: time.Now(), Running: len(e.running)}
 	for id := range e.running {
 		r.Generations = append(r.Generations, bramleytack.GenerationState{Request: id})
@@ -59,11 +59,11 @@
 	return r
 }
 
-// Handle implements bramleytack.Handler: dispatch at an upstream that does not
-// check grants.
+// Handle implements bramleytack.Handler. It stands for the dispatch to an upstream
+// that does not check grants itself.
 func (e *engine) Handle(ctx context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
 	seed := rand.New(rand.NewPCG(uint64(len(r.ID)), uint64(time.Now().UnixNano())))
-	wait, work := upTo(seed, 1300*time.Millisecond), upTo(seed, 600*time.Millisecond)
+	wait, work := randomDuration(seed, 1300*time.Millisecond), randomDuration(seed, 600*time.Millisecond)
 	if seed.IntN(3) > 0 {
 		wait /= 20
 	}
@@ -76,12 +76,12 @@
 	return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Unknown, "stream without a token")
 }
 
-// fixed is a snapshot with one plain service.
-type fixed struct{ snapshot *bramleytack.Snapshot }
+// fixedSnapshot implements bramleytack.Snapshots with one snapshot.
+type fixedSnapshot struct{ snapshot *bramleytack.Snapshot }
 
-func (f fixed) Snapshot() *bramleytack.Snapshot { return f.snapshot }
+func (f fixedSnapshot) Snapshot() *bramleytack.Snapshot { return f.snapshot }
 
-// entries sends calls from each member to one upstream.
+// entries is a cell whose members send calls to one upstream.
 type entries struct {
 	*sim
 	engine   *engine
@@ -89,13 +89,13 @@
 	owner    func(m *member) bramleytack.Owner
 }
 
-// withEntries runs f with eight entries and an upstream that is cold throughout.
+// withEntries runs f with eight entries and an upstream that never becomes warm.
 func withEntries(t *testing.T, seed uint64, f func(e *entries)) {
 	t.Helper()
 	u := &bramleytack.Upstream{
 		ID: "u", Kind: bramleytack.KindService, Service: "s", FailureDomain: "d", ColdLimit: coldLimit, WarmLimit: 64,
 	}
-	inCell(t, 8, seed, []*bramleytack.Upstream{u}, func(s *sim) {
+	withCell(t, 8, seed, []*bramleytack.Upstream{u}, func(s *sim) {
 		f(&entries{
 			sim: s, upstream: u, engine: &engine{running: map[bramleytack.RequestID]time.Time{}},
 			owner: func(m *member) bramleytack.Owner { return m.owners },
@@ -103,11 +103,11 @@
 	})
 }
 
-// probe reports the load to the members that own the upstream.
+// probe passes load reports to the members that own the upstream.
 func (e *entries) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i := range e.members {
-			m := e.at(i)
+			m := e.member(i)
 			if m.ctx.Err() == nil && m.table.Owns("u") {
 				m.table.Report("u", e.engine.load("i"))
 			}
@@ -126,25 +126,25 @@
 		ByService:      map[string][]*bramleytack.Upstream{"s": {e.upstream}},
 	}
 	for n := 0; ctx.Err() == nil; n++ {
-		m := e.at(i)
+		m := e.member(i)
 		f := &btroute.Filter{
-			Entry: m.host, Snapshots: fixed{s}, Owner: e.owner(m), Timer: e.timers, Policy: &btroute.RoundRobin{},
+			Entry: m.host, Snapshots: fixedSnapshot{s}, Owner: e.owner(m), Timer: e.timers, Policy: &btroute.RoundRobin{},
 		}
 		q := &bramleytack.Request{
 			ID: bramleytack.RequestID(fmt.Sprintf("%d/%d", i, n)), Kind: bramleytack.Call, Method: http.MethodPost, Service: "s",
 			Deadline: time.Now().Add(10 * time.Second),
 		}
-		alive, done := context.WithCancel(ctx)
+		callCtx, done := context.WithCancel(ctx)
 		stop := context.AfterFunc(m.ctx, done)
-		_ = f.Handle(alive, q, nil, e.engine)
+		_ = f.Handle(callCtx, q, nil, e.engine)
 		stop()
 		done()
-		_ = e.timers.Sleep(ctx, upTo(r, 150*time.Millisecond))
+		_ = e.timers.Sleep(ctx, randomDuration(r, 150*time.Millisecond))
 	}
 }
 
-// load runs faults while all members serve.
-func (e *entries) load(seed uint64, faults func()) {
+// runWithFaults calls faults while all members send calls.
+func (e *entries) runWithFaults(seed uint64, faults func()) {
 	ctx, cancel := context.WithCancel(e.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { e.probe(ctx) })
@@ -160,31 +160,31 @@
 	name  string
 	apply func(e *entries, r *rand.Rand, i int)
 }{
-	{"killed and replaced", func(e *entries, r *rand.Rand, i int) { e.restart(i, upTo(r, 5*time.Second)) }},
-	{"cut off", func(e *entries, r *rand.Rand, i int) {
-		e.members[i].store.off.Store(true)
+	{"killed and replaced", func(e *entries, r *rand.Rand, i int) { e.restart(i, randomDuration(r, 5*time.Second)) }},
+	{"cut off from peers and store", func(e *entries, r *rand.Rand, i int) {
+		e.members[i].store.down.Store(true)
 		e.block(i, true, true)
-		time.Sleep(upTo(r, 8*time.Second))
-		e.members[i].store.off.Store(false)
+		time.Sleep(randomDuration(r, 8*time.Second))
+		e.members[i].store.down.Store(false)
 		e.block(i, false, false)
 	}},
 	{"cut off from peers", func(e *entries, r *rand.Rand, i int) {
 		e.block(i, true, true)
-		time.Sleep(upTo(r, 8*time.Second))
+		time.Sleep(randomDuration(r, 8*time.Second))
 		e.block(i, false, false)
 	}},
 	{"cut off in one direction", func(e *entries, r *rand.Rand, i int) {
 		in := r.IntN(2) == 0
 		e.block(i, in, !in)
-		time.Sleep(upTo(r, 8*time.Second))
+		time.Sleep(randomDuration(r, 8*time.Second))
 		e.block(i, false, false)
 	}},
-	{"answers lost", func(e *entries, r *rand.Rand, i int) {
+	{"replies lost", func(e *entries, r *rand.Rand, i int) {
 		for range 4 {
 			e.block(i, false, true)
-			time.Sleep(upTo(r, 600*time.Millisecond))
+			time.Sleep(randomDuration(r, 600*time.Millisecond))
 			e.block(i, false, false)
-			time.Sleep(upTo(r, 600*time.Millisecond))
+			time.Sleep(randomDuration(r, 600*time.Millisecond))
 		}
 	}},
 	{"links silent", func(e *entries, _ *rand.Rand, i int) {
@@ -195,32 +195,32 @@
 	}},
 }
 
-// Guards against reservations above a cold upstream's limit by several entries
-// and owners together, and against a cell that stops granting after a fault.
+// Guards against several entries and owners that together reserve more than the
+// limit of a cold upstream, and against a cell that grants nothing after a fault.
 func TestColdLimit(t *testing.T) {
 	for _, f := range ownerFaults {
 		t.Run(f.name, func(t *testing.T) {
 			for seed := range *seeds {
 				withEntries(t, seed, func(e *entries) {
 					r := rand.New(rand.NewPCG(seed, 3))
-					e.load(seed, func() {
-						time.Sleep(upTo(r, 2*time.Second))
-						f.apply(e, r, e.ownerOf())
-						time.Sleep(upTo(r, 2*time.Second))
+					e.runWithFaults(seed, func() {
+						time.Sleep(randomDuration(r, 2*time.Second))
+						f.apply(e, r, e.upstreamOwner())
+						time.Sleep(randomDuration(r, 2*time.Second))
 						f.apply(e, r, r.IntN(len(e.members)))
 						time.Sleep(6 * time.Second)
 						before := e.engine.count()
-						time.Sleep(start)
+						time.Sleep(settleTime)
 						assert.Check(e.t, e.engine.count() > before, "seed %d: nothing is granted", seed)
 					})
-					assert.Check(e.t, e.engine.worst <= coldLimit, "seed %d: %d at once", seed, e.engine.worst)
+					assert.Check(e.t, e.engine.maxRunning <= coldLimit, "seed %d: %d at once", seed, e.engine.maxRunning)
 				})
 			}
 		})
 	}
 }
 
-func (e *entries) ownerOf() int { return max(e.sim.owner("u"), 0) }
+func (e *entries) upstreamOwner() int { return max(e.sim.owner("u"), 0) }
 
 func (e *engine) count() int {
 	e.mu.Lock()
@@ -234,10 +234,10 @@
 	}
 }
 
-// Guards against places of the upstream that stay taken after a lost answer.
+// Guards against a reservation that is never released after its reply was lost.
 func TestLostReservation(t *testing.T) {
 	withEntries(t, 1, func(e *entries) {
-		owner := e.ownerOf()
+		owner := e.upstreamOwner()
 		entry := e.members[(owner+1)%8]
 		e.members[owner].table.Report("u", e.engine.load("i"))
 		ctx, cancel := context.WithCancel(e.t.Context())
@@ -256,17 +256,17 @@
 	})
 }
 
-// Guards against a new owner that does not know what entries hold.
+// Guards against a new owner that does not count the reservations held by entries.
 func TestAdopt(t *testing.T) {
 	withEntries(t, 1, func(e *entries) {
-		owner := e.ownerOf()
+		owner := e.upstreamOwner()
 		e.members[owner].table.Report("u", e.engine.load("i"))
 		m := e.members[(owner+1)%8]
 		_, err := m.owners.Reserve(e.t.Context(), reservation("g", m.host))
 		assert.NilError(e.t, err)
 		assert.Equal(e.t, m.owners.ReservationCount(), 1)
 		e.members[owner].stop()
-		time.Sleep(2 * start)
+		time.Sleep(2 * settleTime)
 		host, _ := m.cell.Owner("u")
 		for _, next := range e.members {
 			if next.host == host {
@@ -278,23 +278,23 @@
 	})
 }
 
-// stale reports ownership under the view before the current one.
-type stale struct{ *Owners }
+// previousView reports ownership with the number of the view before the current one.
+type previousView struct{ *Owners }
 
-func (s stale) Ownership(now time.Time, id bramleytack.UpstreamID) (btowner.Ownership, bool) {
+func (s previousView) Ownership(now time.Time, id bramleytack.UpstreamID) (btowner.Ownership, bool) {
 	p, ok := s.Owners.Ownership(now, id)
 	p.ViewNumber--
 	return p, ok
 }
 
-// Guards against grants of an earlier view, which no owner of the current one
-// counts.
+// Guards against use of a grant of an earlier view, whose reservation no current
+// owner counts.
 func TestEarlierView(t *testing.T) {
 	withEntries(t, 1, func(e *entries) {
-		owner := e.ownerOf()
+		owner := e.upstreamOwner()
 		o := e.members[owner]
 		o.table.Report("u", e.engine.load("i"))
-		o.table.Ownership = stale{o.owners}
+		o.table.Ownership = previousView{o.owners}
 		for _, m := range e.members {
 			_, err := m.owners.Reserve(e.t.Context(), reservation(string(m.host), m.host))
 			assert.ErrorContains(e.t, err, "earlier view", "entry %s", m.host)
--- a/btremote/sim_test.go
+++ b/btremote/sim_test.go
@@ -28,81 +28,83 @@
 	"bramleytack/internal/btmemstore"
 )
 
-// start is the time in which a cell finds its members and new owners settle.
-const start = 8 * time.Second
+// settleTime is enough for a cell to find its members and for new owners to start
+// granting.
+const settleTime = 8 * time.Second
 
-// uplink is a member's way to the store.
-type uplink struct {
+// storeLink is a member's connection to the store. While it is down, Get, List and
+// Put fail; while it is muted, watches deliver no changes.
+type storeLink struct {
 	*btmemstore.Store
-	off, mute atomic.Bool
+	down, muted atomic.Bool
 }
 
-func (u *uplink) err() error {
-	if u.off.Load() {
+func (u *storeLink) err() error {
+	if u.down.Load() {
 		return bramleytack.ErrStoreDown
 	}
 	return nil
 }
 
-func (u *uplink) Get(ctx context.Context, key bramleytack.Key) (bramleytack.Object, error) {
+func (u *storeLink) Get(ctx context.Context, key bramleytack.Key) (bramleytack.Object, error) {
 	if err := u.err(); err != nil {
 		return bramleytack.Object{}, err
 	}
 	return u.Store.Get(ctx, key)
 }
 
-func (u *uplink) List(ctx context.Context, kind string) ([]bramleytack.Object, bramleytack.Revision, error) {
+func (u *storeLink) List(ctx context.Context, kind string) ([]bramleytack.Object, bramleytack.Revision, error) {
 	if err := u.err(); err != nil {
 		return nil, 0, err
 	}
 	return u.Store.List(ctx, kind)
 }
 
-func (u *uplink) Put(ctx context.Context, o bramleytack.Object, expected bramleytack.Revision) (bramleytack.Revision, error) {
+func (u *storeLink) Put(ctx context.Context, o bramleytack.Object, expected bramleytack.Revision) (bramleytack.Revision, error) {
 	if err := u.err(); err != nil {
 		return 0, err
 	}
 	return u.Store.Put(ctx, o, expected)
 }
 
-func (u *uplink) Watch(ctx context.Context, kind string, after bramleytack.Revision) (bramleytack.Watch, error) {
+func (u *storeLink) Watch(ctx context.Context, kind string, after bramleytack.Revision) (bramleytack.Watch, error) {
 	w, err := u.Store.Watch(ctx, kind, after)
-	return &mutedWatch{Watch: w, uplink: u}, err
+	return &mutedWatch{Watch: w, link: u}, err
 }
 
-// mutedWatch keeps back all changes while its uplink is mute, without an error.
+// mutedWatch withholds all changes, without an error, while its link is muted.
 type mutedWatch struct {
 	bramleytack.Watch
-	uplink *uplink
+	link *storeLink
 }
 
 func (w *mutedWatch) Next(ctx context.Context) (bramleytack.Object, error) {
 	o, err := w.Watch.Next(ctx)
-	if err == nil && w.uplink.mute.Load() {
+	if err == nil && w.link.muted.Load() {
 		<-ctx.Done()
 		return o, ctx.Err()
 	}
 	return o, err
 }
 
-// member is a daemon without its HTTP side.
+// member is a daemon without its HTTP servers.
 type member struct {
-	host     bramleytack.HostID
-	addr     netip.AddrPort
-	store    *uplink
-	node     *btpeer.Node
-	cell     *btview.Cell
-	table    *btowner.Table
-	owners   *Owners
-	claims   *Claims
-	config   *btconfig.Config
-	spread   *ConfigSync
-	exchange *Exchange
-	suspects *Suspects
-	poison   *btquarantine.Table
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	host       bramleytack.HostID
+	addr       netip.AddrPort
+	store      *storeLink
+	node       *btpeer.Node
+	cell       *btview.Cell
+	table      *btowner.Table
+	owners     *Owners
+	claims     *Claims
+	config     *btconfig.Config
+	spread     *ConfigSync
+	exchange   *Exchange
+	suspects   *Suspects
+	quarantine *btquarantine.Table
+	ctx        context.Context
+	cancel     context.CancelFunc
+	running    sync.WaitGroup
 }
 
 // sim is a cell in one process, over an in-memory network and store.
@@ -116,8 +118,8 @@
 	upstreams []*bramleytack.Upstream
 }
 
-// inCell runs f with a settled cell, on fake time.
-func inCell(t *testing.T, members int, seed uint64, upstreams []*bramleytack.Upstream, f func(s *sim)) {
+// withCell runs f in fake time, after the members have found each other.
+func withCell(t *testing.T, members int, seed uint64, upstreams []*bramleytack.Upstream, f func(s *sim)) {
 	t.Helper()
 	// yamux pools timers, which must not pass from one bubble to the next.
 	runtime.GC()
@@ -126,22 +128,22 @@
 		s := &sim{t: t, timers: bttimer.New(seed), store: btmemstore.New(), network: &btmemnet.Network{}, upstreams: upstreams}
 		defer s.timers.Close()
 		for i := range members {
-			s.members = append(s.members, s.run(i))
+			s.members = append(s.members, s.startMember(i))
 		}
 		defer func() {
 			for _, m := range s.members {
 				m.stop()
 			}
 		}()
-		time.Sleep(start)
+		time.Sleep(settleTime)
 		f(s)
 	})
 }
 
-// run starts the member with a number.
-func (s *sim) run(i int) *member {
+// startMember starts the member with an index.
+func (s *sim) startMember(i int) *member {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7)
-	m := &member{host: bramleytack.HostID("h" + string(rune('0'+i))), addr: addr, store: &uplink{Store: s.store}, config: btconfig.New()}
+	m := &member{host: bramleytack.HostID("h" + string(rune('0'+i))), addr: addr, store: &storeLink{Store: s.store}, config: btconfig.New()}
 	m.ctx, m.cancel = context.WithCancel(s.t.Context())
 	mux := &btpeer.Mux{}
 	m.node = &btpeer.Node{
@@ -152,7 +154,7 @@
 	m.cell = &btview.Cell{
 		Name: "c", Self: btview.Member{Host: m.host, Incarnation: uint64(time.Now().UnixNano()), PeerAddr: addr},
 		Lease: lease, Store: m.store, Timer: s.timers, Transport: btview.PeerTransport{Node: m.node},
-		OnView:         func(v *btview.View) { s.moved(m, v) },
+		OnView:         func(v *btview.View) { s.onView(m, v) },
 		ConfigRevision: func() bramleytack.Revision { return m.config.Digest().Revision },
 	}
 	m.compose(s, mux)
@@ -186,9 +188,9 @@
 		Limiter: &btlimit.Limiter{Self: m.host}, Hosts: &bthost.Watcher{Store: m.store, Timer: s.timers},
 		OwnState: func() State { return State{Host: m.host, Config: m.config.Digest()} },
 	}
-	m.poison = &btquarantine.Table{Store: m.store, Timer: s.timers, Snapshots: m.config}
-	m.suspects = &Suspects{Self: m.host, Node: m.node, Cell: m.cell, Table: m.poison}
-	m.poison.Notify = m.suspects.Notify
+	m.quarantine = &btquarantine.Table{Store: m.store, Timer: s.timers, Snapshots: m.config}
+	m.suspects = &Suspects{Self: m.host, Node: m.node, Cell: m.cell, Table: m.quarantine}
+	m.quarantine.Notify = m.suspects.Notify
 	btview.Register(mux, m.cell)
 	m.owners.Register(mux)
 	m.claims.Register(mux)
@@ -197,8 +199,8 @@
 	m.suspects.Register(mux)
 }
 
-// moved follows a view as the daemon does.
-func (s *sim) moved(m *member, v *btview.View) {
+// onView applies a view like the daemon does.
+func (s *sim) onView(m *member, v *btview.View) {
 	for _, other := range m.exchange.States() {
 		if _, ok := v.Member(other.Host); !ok {
 			m.table.EntryGone(other.Host)
@@ -215,7 +217,7 @@
 	m.owners.ReportReservations(m.ctx)
 }
 
-// watch follows the store while the member is one of the cell's watchers.
+// watch watches the store while the member is one of the cell's watchers.
 func (m *member) watch(s *sim, w *btconfig.Watcher) {
 	for m.ctx.Err() == nil {
 		if v := m.cell.View(); v == nil || slices.Contains(v.Watchers(), m.host) {
@@ -231,24 +233,25 @@
 	m.node.Close()
 }
 
-// restart kills a member and starts it anew after a time.
+// restart stops a member and starts it again after a time, with a new incarnation.
 func (s *sim) restart(i int, after time.Duration) {
 	s.members[i].stop()
 	time.Sleep(after)
-	m := s.run(i)
+	m := s.startMember(i)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.members[i] = m
 }
 
-// at returns a member while another goroutine may restart it.
-func (s *sim) at(i int) *member {
+// member returns a member. Another goroutine may restart it meanwhile.
+func (s *sim) member(i int) *member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members[i]
 }
 
-// block sets both directions between a member and all others.
+// block sets whether messages to and from all other members are lost. If neither
+// direction is blocked, it also cuts the connections, so that they are replaced.
 func (s *sim) block(i int, in, out bool) {
 	a := s.members[i].addr.Addr()
 	for _, m := range s.members {
@@ -262,10 +265,12 @@
 	}
 }
 
-// owner returns the number of the member that owns a name.
+// owner returns the index of the member that owns a name, by the view of member 0.
 func (s *sim) owner(id bramleytack.UpstreamID) int {
 	host, _ := s.members[0].cell.Owner(id)
 	return slices.IndexFunc(s.members, func(m *member) bool { return m.host == host })
 }
 
-func upTo(r *rand.Rand, d time.Duration) time.Duration { return time.Duration(r.Int64N(int64(d))) }
+func randomDuration(r *rand.Rand, d time.Duration) time.Duration {
+	return time.Duration(r.Int64N(int64(d)))
+}
--- a/btremote/suspects.go
+++ b/btremote/suspects.go
@@ -13,60 +13,60 @@
 )
 
 const (
-	// reportQueue bounds the reports that wait to be sent. A report that finds
-	// no place is dropped; none of them may quarantine an innocent request.
-	reportQueue = 256
-	// reportTimeout bounds the sending of one report to one peer.
+	// reportQueueSize bounds the reports that wait to be sent. Further ones are
+	// dropped: a lost report never quarantines a request that caused no crash.
+	reportQueueSize = 256
+	// reportTimeout bounds the sending of one report to all peers.
 	reportTimeout = 500 * time.Millisecond
-	// suspectTimeout bounds the wait for the arbiter of a suspect's single run.
-	suspectTimeout = 500 * time.Millisecond
+	// arbiterTimeout bounds the wait for the arbiter of a suspect's single run.
+	arbiterTimeout = 500 * time.Millisecond
 )
 
-// Suspects shares what is known of crashing requests in a cell.
+// Suspects distributes reports of requests that crash upstreams, and arbitrates
+// which entry may run a suspect.
 type Suspects struct {
 	Self  bramleytack.HostID
 	Node  *btpeer.Node
 	Cell  *btview.Cell
 	Table *btquarantine.Table
 
-	queue chan news
+	queue chan queueItem
 }
 
-// news is a report to send, or a mark in the queue.
-type news struct {
+// queueItem is a report to send, or the marker of a Flush.
+type queueItem struct {
 	report btquarantine.Report
-	// reached is closed when all earlier reports were sent. It is nil for a
-	// report.
-	reached chan struct{}
+	// flushed is closed when all earlier items were sent. It is nil for a report.
+	flushed chan struct{}
 }
 
-// Register makes the daemon take reports and decide single runs. It must be
-// called before Run.
+// Register registers the handlers for reports and single runs. It must be called
+// before Run.
 func (s *Suspects) Register(mux *btpeer.Mux) {
-	s.queue = make(chan news, reportQueue)
+	s.queue = make(chan queueItem, reportQueueSize)
 	btpeer.Handle(mux, s.handleReport)
 	btpeer.Handle(mux, s.handleRun)
 }
 
-// Notify queues a report for all peers.
+// Notify queues a report for all peers. It does not block.
 func (s *Suspects) Notify(r btquarantine.Report) {
 	select {
-	case s.queue <- news{report: r}:
+	case s.queue <- queueItem{report: r}:
 	default:
 	}
 }
 
-// Flush returns when the reports so far were sent to all peers that answer, or
-// when the context ends.
+// Flush returns when all queued reports were sent to the peers that reply, or when
+// the context ends.
 func (s *Suspects) Flush(ctx context.Context) {
-	mark := news{reached: make(chan struct{})}
+	marker := queueItem{flushed: make(chan struct{})}
 	select {
-	case s.queue <- mark:
+	case s.queue <- marker:
 	case <-ctx.Done():
 		return
 	}
 	select {
-	case <-mark.reached:
+	case <-marker.flushed:
 	case <-ctx.Done():
 	}
 }
@@ -76,8 +76,8 @@
 	for {
 		select {
 		case n := <-s.queue:
-			if n.reached != nil {
-				close(n.reached)
+			if n.flushed != nil {
+				close(n.flushed)
 				continue
 			}
 			s.send(ctx, encodeReport(n.report))
@@ -106,15 +106,15 @@
 	sent.Wait()
 }
 
-// Arbitrate asks the member that decides about a suspect's single run. It is
-// the Arbiter of btquarantine.Filter.
+// Arbitrate asks the member that decides about a suspect's single run. It returns
+// nil if the request may run. It serves as Arbiter of btquarantine.Filter.
 func (s *Suspects) Arbitrate(ctx context.Context, fp bramleytack.Fingerprint, request bramleytack.RequestID) error {
-	// Upstream ids hold no slash, so the name of a fingerprint never is one.
+	// Upstream ids contain no slash, so this name is never that of an upstream.
 	arbiter, _ := s.Cell.Owner(bramleytack.UpstreamID("fingerprint/" + fp.String()))
 	if arbiter == "" || arbiter == s.Self {
 		return s.Table.Grant(fp, request)
 	}
-	ctx, cancel := context.WithTimeout(ctx, suspectTimeout)
+	ctx, cancel := context.WithTimeout(ctx, arbiterTimeout)
 	defer cancel()
 	_, err := btpeer.Call[btwire.SuspectRun, btwire.SuspectRunReply](ctx, s.Node, arbiter, &btwire.SuspectRun{
 		Fingerprint: fp[:], Request: string(request),
@@ -151,7 +151,7 @@
 	}
 }
 
-// decodeReport refuses a report of a kind that it does not know.
+// decodeReport returns false for a report of an unknown kind.
 func decodeReport(m *btwire.QuarantineReport) (btquarantine.Report, bool) {
 	r := btquarantine.Report{
 		Upstream: bramleytack.UpstreamID(m.GetUpstream()), Instance: bramleytack.InstanceID(m.GetInstance()),
--- a/btremote/suspects_test.go
+++ b/btremote/suspects_test.go
@@ -11,9 +11,9 @@
 	"bramleytack/btquarantine"
 )
 
-// Guards against a second run of a suspect at another entry.
+// Guards against a second run of a suspect that another entry allows.
 func TestSingleRun(t *testing.T) {
-	inCell(t, 4, 1, nil, func(s *sim) {
+	withCell(t, 4, 1, nil, func(s *sim) {
 		for n := range byte(20) {
 			fp := bramleytack.Fingerprint{n}
 			granted := 0
@@ -27,16 +27,16 @@
 	})
 }
 
-// Guards against a lost answer of the arbiter that allows two runs.
-func TestSingleRunWithLostAnswer(t *testing.T) {
-	inCell(t, 4, 1, nil, func(s *sim) {
+// Guards against a second run after the reply of the arbiter was lost.
+func TestSingleRunWithLostReply(t *testing.T) {
+	withCell(t, 4, 1, nil, func(s *sim) {
 		fp := bramleytack.Fingerprint{1}
 		arbiter := s.owner(bramleytack.UpstreamID("fingerprint/" + fp.String()))
 		entry := s.members[(arbiter+1)%4]
 		s.network.Block(s.members[arbiter].addr.Addr(), entry.addr.Addr(), true)
 		assert.Assert(s.t, entry.suspects.Arbitrate(s.t.Context(), fp, "a") != nil)
 		s.block(arbiter, false, false)
-		time.Sleep(start)
+		time.Sleep(settleTime)
 		granted := 0
 		for i, m := range s.members {
 			if m.suspects.Arbitrate(s.t.Context(), fp, bramleytack.RequestID(fmt.Sprint(i))) == nil {
@@ -47,8 +47,8 @@
 	})
 }
 
-// Guards against reports that do not reach all entries, and against lost or
-// repeated ones that quarantine an innocent request.
+// Guards against reports that do not reach all entries, and against lost or repeated
+// ones that quarantine a request that caused no crash.
 func TestReports(t *testing.T) {
 	fp := bramleytack.Fingerprint{7}
 	crash := btquarantine.Report{
@@ -59,19 +59,19 @@
 		apply       func(s *sim)
 		quarantined bool
 	}{
-		{"one crash is repeated by all", func(s *sim) {
+		{"all members repeat the report of one crash", func(s *sim) {
 			for _, m := range s.members {
 				for range 3 {
 					m.suspects.Notify(crash)
 				}
 			}
 		}, false},
-		{"a crash alone reaches all", func(s *sim) {
+		{"crash of a request that ran alone reaches all", func(s *sim) {
 			alone := crash
 			alone.Alone = crash.Fingerprints
 			s.members[0].suspects.Notify(alone)
 		}, true},
-		{"a crash alone is lost on the way to one", func(s *sim) {
+		{"report of such a crash does not reach one member", func(s *sim) {
 			s.block(1, true, true)
 			alone := crash
 			alone.Alone = crash.Fingerprints
@@ -81,13 +81,13 @@
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inCell(t, 4, 1, nil, func(s *sim) {
+			withCell(t, 4, 1, nil, func(s *sim) {
 				c.apply(s)
-				time.Sleep(2 * start)
+				time.Sleep(2 * settleTime)
 				for _, m := range s.members {
-					m.poison.Flush(s.t.Context())
+					m.quarantine.Flush(s.t.Context())
 				}
-				time.Sleep(start)
+				time.Sleep(settleTime)
 				for _, m := range s.members {
 					assert.Equal(s.t, m.config.Snapshot().Quarantined[fp.String()], c.quarantined, "at %s", m.host)
 				}
