--- a/btremote/claims.go
+++ b/btremote/claims.go
@@ -62,7 +62,7 @@
 	}
 	fp, ok := decodeFingerprint(m.GetFingerprint())
 	if !ok {
-		return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "claim has no fingerprint")
+		return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "claim has no valid fingerprint")
 	}
 	d, err := shard.Begin(ctx, key, fp, from, bramleytack.RequestID(m.GetRequest()))
 	if err != nil {
--- a/btremote/claims_test.go
+++ b/btremote/claims_test.go
@@ -109,7 +109,7 @@
 		"the owner is cut off from the store": func(s *sim, _ claimant, owner int) {
 			s.members[owner].store.down.Store(true)
 		},
-		"the owner dies": func(s *sim, _ claimant, owner int) { s.members[owner].stop() },
+		"the owner stops": func(s *sim, _ claimant, owner int) { s.members[owner].stop() },
 		"another member becomes the owner": func(s *sim, _ claimant, owner int) {
 			s.members[owner].stop()
 			time.Sleep(2 * settleTime)
