--- a/btstore/call.go
+++ b/btstore/call.go
@@ -14,99 +14,101 @@
 	"bramleytack"
 )
 
-// Reply sizes. The envelope of an object is small beside its value.
+// Limits on response bodies. The fields of an object other than its value are
+// small, so that twice the largest value is enough.
 const (
-	maxObjectReply = 2 * bramleytack.MaxObjectBytes
-	maxListReply   = 64 * bramleytack.MaxObjectBytes
-	maxErrorText   = 200
+	maxObjectResponse = 2 * bramleytack.MaxObjectBytes
+	maxListResponse   = 64 * bramleytack.MaxObjectBytes
+	maxErrorBytes     = 200
 )
 
-// call is one HTTP call.
-type call struct {
+// httpCall is an HTTP request to the object API.
+type httpCall struct {
 	method string
 	path   string
 	body   []byte
 	header http.Header
-	// limit bounds the size of the reply.
-	limit int64
+	// maxBytes bounds the size of the response body.
+	maxBytes int64
 }
 
-// reply is a complete response.
-type reply struct {
+// response is an HTTP response whose body was read completely.
+type response struct {
 	status int
 	body   []byte
 }
 
 // do makes one call. sent is false if no byte of the request can have reached
-// the platform. The connection is reused only after the reply was read to its
-// end in time.
-func (c *Client) do(ctx context.Context, k call) (r reply, sent bool, err error) {
+// the platform. The connection is reused only if the whole response arrived
+// before the timeout.
+func (c *Client) do(ctx context.Context, call httpCall) (r response, sent bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req, err := c.request(ctx, k)
+	req, err := c.newRequest(ctx, call)
 	if err != nil {
-		return reply{}, false, err
+		return response{}, false, err
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return reply{}, connected.Load(), err
+		return response{}, connected.Load(), err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, k.limit+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, call.maxBytes+1))
 	if err != nil {
-		return reply{}, true, err
+		return response{}, true, err
 	}
-	if int64(len(body)) > k.limit {
-		return reply{}, true, errors.Newf("reply is longer than %d bytes", k.limit)
+	if int64(len(body)) > call.maxBytes {
+		return response{}, true, errors.Newf("response body is longer than %d bytes", call.maxBytes)
 	}
 	if !unavailable(resp.StatusCode) && resp.StatusCode < http.StatusInternalServerError {
 		now := c.timer.Now()
-		c.answered.Store(&now)
+		c.lastResponse.Store(&now)
 	}
-	return reply{status: resp.StatusCode, body: body}, true, nil
+	return response{status: resp.StatusCode, body: body}, true, nil
 }
 
-func (c *Client) request(ctx context.Context, k call) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, k.method, c.base+k.path, bytes.NewReader(k.body))
+func (c *Client) newRequest(ctx context.Context, call httpCall) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, call.method, c.base+call.path, bytes.NewReader(call.body))
 	if err != nil {
 		return nil, err
 	}
-	if k.body == nil {
+	if call.body == nil {
 		req.Body, req.GetBody, req.ContentLength = nil, nil, 0
 	}
-	for name, values := range k.header {
+	for name, values := range call.header {
 		req.Header[name] = values
 	}
 	return req, nil
 }
 
-// read makes a GET call and repeats it within the retry budget.
-func (c *Client) read(ctx context.Context, path string, limit int64) (reply, error) {
+// read makes a GET call and retries it within the retry budget.
+func (c *Client) read(ctx context.Context, path string, maxBytes int64) (response, error) {
 	for attempt := 0; ; attempt++ {
 		c.counters.reads.Add(1)
-		r, _, err := c.do(ctx, call{method: http.MethodGet, path: path, limit: limit})
+		r, _, err := c.do(ctx, httpCall{method: http.MethodGet, path: path, maxBytes: maxBytes})
 		err = readError(r, err)
 		if !errors.Is(err, bramleytack.ErrStoreDown) {
-			c.budget.earn()
+			c.budget.refill()
 			return r, err
 		}
-		if attempt >= maxRetries || !c.budget.spend() || c.pause(ctx, attempt) != nil {
-			return reply{}, err
+		if attempt >= maxRetries || !c.budget.take() || c.sleepBackoff(ctx, attempt) != nil {
+			return response{}, err
 		}
 		c.counters.retries.Add(1)
 	}
 }
 
-func (c *Client) pause(ctx context.Context, attempt int) error {
-	return c.timer.Sleep(ctx, c.budget.delay(attempt))
+func (c *Client) sleepBackoff(ctx context.Context, attempt int) error {
+	return c.timer.Sleep(ctx, c.budget.backoff(attempt))
 }
 
-// readError returns the error of a call without an effect.
-func readError(r reply, err error) error {
+// readError maps the result of a read or a failed watch request to an error.
+// Failures that may be temporary wrap bramleytack.ErrStoreDown.
+func readError(r response, err error) error {
 	switch {
 	case err != nil:
 		return fmt.Errorf("%w: %w", bramleytack.ErrStoreDown, err)
@@ -120,12 +122,13 @@
 	return statusError(r)
 }
 
-// unavailable says whether the status promises that a call had no effect.
+// unavailable reports whether the platform rejected the call because of overload
+// or an outage. Such a call had no effect.
 func unavailable(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-func statusError(r reply) error {
-	text := r.body[:min(len(r.body), maxErrorText)]
+func statusError(r response) error {
+	text := r.body[:min(len(r.body), maxErrorBytes)]
 	return errors.Newf("status %d: %q", r.status, text)
 }
--- a/btstore/client.go
+++ b/btstore/client.go
@@ -26,27 +26,28 @@
 type Config struct {
 	// URL is the base URL of the object API.
 	URL string
-	// CallTimeout bounds each HTTP call. Zero means one second.
+	// CallTimeout bounds each HTTP call, and the opening of a watch. Zero means
+	// one second.
 	CallTimeout time.Duration
 	// Timer is required.
 	Timer bramleytack.Timer
-	// Seed feeds the jitter of repeated calls.
+	// Seed seeds the random part of the delay before a retry.
 	Seed uint64
-	// Dial opens connections. Nil dials TCP.
+	// Dial opens connections. Nil means TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Client implements bramleytack.Store.
+// Client implements bramleytack.Store. It is safe for concurrent use.
 type Client struct {
 	base      string
 	timeout   time.Duration
 	timer     bramleytack.Timer
 	http      *http.Client
 	transport *http.Transport
-	budget    *budget
+	budget    *retryBudget
 	counters  counters
-	// answered is the time of the last answer that was no outage.
-	answered atomic.Pointer[time.Time]
+	// lastResponse is the time that LastResponse returns.
+	lastResponse atomic.Pointer[time.Time]
 }
 
 var _ bramleytack.Store = (*Client)(nil)
@@ -73,12 +74,12 @@
 		timer:     cfg.Timer,
 		http:      &http.Client{Transport: t, CheckRedirect: noRedirect},
 		transport: t,
-		budget:    newBudget(cfg.Seed),
+		budget:    newRetryBudget(cfg.Seed),
 	}, nil
 }
 
 // newTransport allows HTTP/1.1 only: an abandoned call then closes its
-// connection, while HTTP/2 would go on using it.
+// connection, while HTTP/2 would keep it open for further calls.
 func newTransport(cfg Config) *http.Transport {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -93,12 +94,13 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close closes idle connections. Open watches are closed by their owners.
+// Close closes idle connections. It does not close open watches.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Get implements bramleytack.Store.
+// Get implements bramleytack.Store. It also returns ErrStoreDown for a response
+// that cannot be decoded.
 func (c *Client) Get(ctx context.Context, key bramleytack.Key) (bramleytack.Object, error) {
-	r, err := c.read(ctx, objectPath(key), maxObjectReply)
+	r, err := c.read(ctx, objectPath(key), maxObjectResponse)
 	if err != nil {
 		return bramleytack.Object{}, fmt.Errorf("btstore: get %s/%s: %w", key.Kind, key.Name, err)
 	}
@@ -115,9 +117,10 @@
 	return o, nil
 }
 
-// List implements bramleytack.Store.
+// List implements bramleytack.Store. It also returns ErrStoreDown for a response
+// that cannot be decoded.
 func (c *Client) List(ctx context.Context, kind string) ([]bramleytack.Object, bramleytack.Revision, error) {
-	r, err := c.read(ctx, "/objects/"+url.PathEscape(kind), maxListReply)
+	r, err := c.read(ctx, "/objects/"+url.PathEscape(kind), maxListResponse)
 	if err != nil {
 		return nil, 0, fmt.Errorf("btstore: list %s: %w", kind, err)
 	}
@@ -128,9 +131,10 @@
 	return list, rev, nil
 }
 
-// Hosts implements bramleytack.Store.
+// Hosts implements bramleytack.Store. It also returns ErrStoreDown for a response
+// that cannot be decoded.
 func (c *Client) Hosts(ctx context.Context) (bramleytack.HostList, error) {
-	r, err := c.read(ctx, "/hosts", maxListReply)
+	r, err := c.read(ctx, "/hosts", maxListResponse)
 	if err != nil {
 		return bramleytack.HostList{}, fmt.Errorf("btstore: hosts: %w", err)
 	}
@@ -151,7 +155,7 @@
 // arrived. Statuses 429 and 5xx do not count. It is the zero time before the
 // first such response.
 func (c *Client) LastResponse() time.Time {
-	if t := c.answered.Load(); t != nil {
+	if t := c.lastResponse.Load(); t != nil {
 		return *t
 	}
 	return time.Time{}
--- a/btstore/client_test.go
+++ b/btstore/client_test.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// run runs a test on fake time.
-func run(t *testing.T, name string, f func(t *testing.T, p *platform, c *btstore.Client)) {
+// runSynctest runs a subtest with the fake clock of synctest.
+func runSynctest(t *testing.T, name string, f func(t *testing.T, p *platform, c *btstore.Client)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPlatform(t)
@@ -55,27 +55,27 @@
 	assert.Equal(t, string(o.Data), want)
 }
 
-// Guards against writes that take effect twice, get lost or are reported wrong
-// when the platform's response does not arrive.
+// Guards against writes that take effect twice, are lost or are reported with
+// the wrong result when the platform's response does not arrive.
 func TestLostResponses(t *testing.T) {
-	run(t, "a create with a lost response is confirmed", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a create with a lost response is confirmed", func(t *testing.T, p *platform, c *btstore.Client) {
 		p.SetFault(btmemstore.Fault{LoseReplies: 1})
 		assert.Equal(t, put(t, c, "1", 0), p.Revision())
 		assert.Equal(t, c.Counts().Writes, uint64(1))
 	})
-	run(t, "a dropped update is sent again", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a dropped update is sent again", func(t *testing.T, p *platform, c *btstore.Client) {
 		v := put(t, c, "1", 0)
 		p.SetFault(btmemstore.Fault{DropWrites: 1})
 		put(t, c, "2", v)
 		assertData(t, p, "2")
 		assert.Equal(t, c.Counts().Writes, uint64(3))
 	})
-	run(t, "a dropped create is unknown", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a dropped create is unknown", func(t *testing.T, p *platform, c *btstore.Client) {
 		p.SetFault(btmemstore.Fault{DropWrites: 1})
 		_, err := c.Put(t.Context(), object("1"), 0)
 		assert.ErrorIs(t, err, bramleytack.ErrStoreUnknown)
 	})
-	run(t, "a write that another one replaced is found among the events", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a write that another write replaced is found among the events", func(t *testing.T, p *platform, c *btstore.Client) {
 		v := put(t, c, "1", 0)
 		p.SetFault(btmemstore.Fault{LoseReplies: 1})
 		p.beforeLoss = func() { put(t, p.Store, "3", p.Revision()) }
@@ -83,7 +83,7 @@
 		assert.Equal(t, v2, v+1)
 		assertData(t, p, "3")
 	})
-	run(t, "a write that lost to another one is unknown", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a dropped write followed by another write is unknown", func(t *testing.T, p *platform, c *btstore.Client) {
 		v := put(t, c, "1", 0)
 		p.SetFault(btmemstore.Fault{DropWrites: 1})
 		p.beforeLoss = func() { put(t, p.Store, "3", v) }
@@ -91,14 +91,14 @@
 		assert.ErrorIs(t, err, bramleytack.ErrStoreUnknown)
 		assertData(t, p, "3")
 	})
-	run(t, "a stale read does not confirm or repeat a write", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a stale read neither confirms a write nor causes a retry", func(t *testing.T, p *platform, c *btstore.Client) {
 		v := put(t, c, "1", 0)
 		p.SetFault(btmemstore.Fault{LoseReplies: 1, StaleReads: uint64(v)})
 		_, err := c.Put(t.Context(), object("2"), v)
 		assert.ErrorIs(t, err, bramleytack.ErrStoreUnknown)
 		assert.Equal(t, p.Revision(), v+1)
 	})
-	run(t, "an outage has no effect", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a write during an outage has no effect", func(t *testing.T, p *platform, c *btstore.Client) {
 		p.SetFault(btmemstore.Fault{Down: true})
 		_, err := c.Put(t.Context(), object("1"), 0)
 		assert.ErrorIs(t, err, bramleytack.ErrStoreDown)
@@ -107,9 +107,9 @@
 }
 
 // Guards against a watch that hangs on a silent connection, and against one
-// that ends although heartbeats come.
+// that ends while heartbeats arrive.
 func TestSilentWatch(t *testing.T) {
-	run(t, "heartbeats keep a watch open until they stop", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "heartbeats keep a watch open until they stop", func(t *testing.T, p *platform, c *btstore.Client) {
 		w, err := c.Watch(t.Context(), testKey.Kind, 0)
 		assert.NilError(t, err)
 		defer w.Close()
@@ -125,12 +125,12 @@
 	})
 }
 
-// Guards against a late response that answers another call.
+// Guards against a late response that is taken for the response to another call.
 func TestAbandonedCall(t *testing.T) {
-	run(t, "the connection of an abandoned call is not used again", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "the connection of an abandoned call is not used again", func(t *testing.T, p *platform, c *btstore.Client) {
 		put(t, c, "1", 0)
 		assert.Equal(t, p.dials.Load(), int64(1))
-		p.hold = func(*http.Request) { time.Sleep(150 * time.Millisecond) }
+		p.beforeCall = func(*http.Request) { time.Sleep(150 * time.Millisecond) }
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		_, _, err := c.List(ctx, "lease")
@@ -138,8 +138,8 @@
 		assertData(t, c, "1")
 		assert.Equal(t, p.dials.Load(), int64(2))
 	})
-	run(t, "each call has a deadline", func(t *testing.T, p *platform, c *btstore.Client) {
-		p.hold = func(r *http.Request) { <-r.Context().Done() }
+	runSynctest(t, "each call has a deadline", func(t *testing.T, p *platform, c *btstore.Client) {
+		p.beforeCall = func(r *http.Request) { <-r.Context().Done() }
 		start := time.Now()
 		_, err := c.Hosts(t.Context())
 		assert.ErrorIs(t, err, bramleytack.ErrStoreDown)
@@ -147,9 +147,9 @@
 	})
 }
 
-// Guards against repeats that multiply the load on a platform in trouble.
+// Guards against retries that multiply the load on a platform during an outage.
 func TestRetryBudget(t *testing.T) {
-	run(t, "an outage exhausts the budget", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "an outage exhausts the budget", func(t *testing.T, p *platform, c *btstore.Client) {
 		p.SetFault(btmemstore.Fault{Down: true})
 		for range 100 {
 			_, err := c.Get(t.Context(), testKey)
@@ -157,10 +157,10 @@
 		}
 		assert.DeepEqual(t, c.Counts(), btstore.Counts{Reads: 110, Retries: 10})
 	})
-	run(t, "a single failure is repeated", func(t *testing.T, p *platform, c *btstore.Client) {
+	runSynctest(t, "a single failure is retried", func(t *testing.T, p *platform, c *btstore.Client) {
 		p.SetHosts(bramleytack.HostList{At: time.Now().UTC(), Hosts: []bramleytack.HostState{{Addr: netip.MustParseAddr("::1"), Leaving: true}}})
-		p.hold = func(*http.Request) {
-			p.hold = nil
+		p.beforeCall = func(*http.Request) {
+			p.beforeCall = nil
 			panic(http.ErrAbortHandler)
 		}
 		l, err := c.Hosts(t.Context())
--- a/btstore/fuzz_test.go
+++ b/btstore/fuzz_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against platform responses that crash the client or give objects
-// without a name or version.
+// Guards against platform responses that crash the client or are decoded to
+// objects without a name or version.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"kind":"k","name":"n","version":3,"changeId":"c","data":{"x":1}}`))
 	f.Add([]byte(`{"revision":9,"objects":[{"kind":"k","name":"n","version":3}]}`))
--- a/btstore/history_test.go
+++ b/btstore/history_test.go
@@ -28,27 +28,27 @@
 	changesPerOperator = 250
 	daemons            = 3
 	workspaces         = 3
-	// propagation is the time in which a change is in force everywhere.
-	propagation = 3 * time.Second
+	// propagationTime is the time within which each daemon applies a change.
+	propagationTime = 3 * time.Second
 )
 
 // attempt is one conditional write of an operator.
 type attempt struct {
 	name     string
 	expected bramleytack.Revision
-	// tag marks the write in the record that it makes.
+	// tag identifies the attempt; it is written into the record.
 	tag string
 }
 
-// result is what an operator learned of an attempt, completed by what the
-// store's history says about attempts with an unknown effect.
+// result is the result of an attempt as the operator saw it. For an attempt with
+// an unknown effect, check fills it in from the store's history.
 type result struct {
 	applied bool
 	unknown bool
 	version bramleytack.Revision
 }
 
-// versionModel is the version of one record under conditional writes.
+// versionModel specifies how conditional writes change the version of a record.
 var versionModel = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		byName := map[string][]porcupine.Operation{}
@@ -75,8 +75,9 @@
 	},
 }
 
-// race is a run of racing operators over a platform with faults.
-type race struct {
+// raceTest runs operators that change the same records concurrently, on a
+// platform with faults.
+type raceTest struct {
 	*testing.T
 	platform *platform
 	admins   []*btadmin.Admin
@@ -85,10 +86,10 @@
 	ops      []porcupine.Operation
 }
 
-// Guards against configuration changes that are lost, reverted or reported
-// wrong when operators race over a store that loses responses, drops writes,
-// answers with old state and has silent watches, and against a daemon whose
-// snapshot moves back.
+// Guards against configuration changes that are lost, reverted or reported with
+// the wrong result when operators make concurrent changes to a store that loses
+// responses, drops writes, returns stale state and has silent watches, and
+// against a daemon whose snapshot returns to an older state.
 func TestOperatorRace(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -98,41 +99,41 @@
 }
 
 func runRace(t *testing.T, seed uint64) {
-	r := &race{T: t, platform: newPlatform(t)}
+	r := &raceTest{T: t, platform: newPlatform(t)}
 	ctx, cancel := context.WithCancel(t.Context())
-	var background, working sync.WaitGroup
+	var background, writers sync.WaitGroup
 	for range daemons {
 		r.startDaemon(ctx, &background, seed)
 	}
-	faults, stop := context.WithCancel(ctx)
-	background.Go(func() { r.injectFaults(faults, rand.New(rand.NewPCG(seed, 0))) })
+	faultCtx, stopFaults := context.WithCancel(ctx)
+	background.Go(func() { r.injectFaults(faultCtx, rand.New(rand.NewPCG(seed, 0))) })
 	for i := range operators {
-		working.Go(func() { r.operate(i, rand.New(rand.NewPCG(seed, uint64(i+1)))) })
+		writers.Go(func() { r.makeChanges(i, rand.New(rand.NewPCG(seed, uint64(i+1)))) })
 	}
-	working.Wait()
-	stop()
-	time.Sleep(propagation)
+	writers.Wait()
+	stopFaults()
+	time.Sleep(propagationTime)
 	r.platform.SetFault(btmemstore.Fault{})
-	time.Sleep(propagation)
+	time.Sleep(propagationTime)
 	synctest.Wait()
 	r.check()
 	cancel()
 	background.Wait()
 }
 
-func (r *race) startDaemon(ctx context.Context, background *sync.WaitGroup, seed uint64) {
+func (r *raceTest) startDaemon(ctx context.Context, background *sync.WaitGroup, seed uint64) {
 	timers := bttimer.New(seed)
 	r.Cleanup(timers.Close)
 	store, cfg := r.platform.client(r.T), btconfig.New()
 	w := &btconfig.Watcher{Store: store, Config: cfg, Timer: timers, Seed: seed + uint64(len(r.admins))}
 	background.Go(func() { _ = w.Run(ctx) })
-	background.Go(func() { r.observe(ctx, cfg) })
+	background.Go(func() { r.checkMonotonic(ctx, cfg) })
 	r.admins = append(r.admins, &btadmin.Admin{Store: store, Config: cfg, Timer: timers})
 }
 
-// observe checks that a daemon's snapshot only moves forward. Each change adds
-// 1 to the weight of a workspace.
-func (r *race) observe(ctx context.Context, cfg *btconfig.Config) {
+// checkMonotonic checks that neither the revision of a daemon's snapshot nor the
+// weight of a workspace decreases. Each change adds 1 to a weight.
+func (r *raceTest) checkMonotonic(ctx context.Context, cfg *btconfig.Config) {
 	changes, cancel := cfg.Subscribe()
 	defer cancel()
 	last := cfg.Snapshot()
@@ -146,13 +147,13 @@
 		assert.Check(r, s.Revision >= last.Revision)
 		for name, w := range last.Workspaces {
 			now, ok := s.Workspaces[name]
-			assert.Check(r, ok && now.Weight >= w.Weight, "%s went back from %d", name, w.Weight)
+			assert.Check(r, ok && now.Weight >= w.Weight, "weight of %s decreased from %d", name, w.Weight)
 		}
 		last = s
 	}
 }
 
-func (r *race) injectFaults(ctx context.Context, rng *rand.Rand) {
+func (r *raceTest) injectFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		f := btmemstore.Fault{
 			Latency:       time.Duration(1+rng.IntN(5)) * time.Millisecond,
@@ -169,8 +170,9 @@
 	}
 }
 
-// operate makes changes until enough of them are known to have taken effect.
-func (r *race) operate(operator int, rng *rand.Rand) {
+// makeChanges makes changes until changesPerOperator of them are known to have
+// taken effect.
+func (r *raceTest) makeChanges(operator int, rng *rand.Rand) {
 	for n, done := 0, 0; done < changesPerOperator; n++ {
 		admin := r.admins[rng.IntN(daemons)]
 		in := attempt{name: fmt.Sprint("w", rng.IntN(workspaces)), tag: fmt.Sprintf("%d-%d", operator, n)}
@@ -194,7 +196,7 @@
 }
 
 // prepare reads a workspace and returns it with its weight raised by 1.
-func (r *race) prepare(admin *btadmin.Admin, in *attempt) (btrecord.Record, bool) {
+func (r *raceTest) prepare(admin *btadmin.Admin, in *attempt) (btrecord.Record, bool) {
 	key := bramleytack.Key{Kind: btrecord.KindWorkspace, Name: in.name}
 	got, err := admin.Get(r.Context(), key)
 	switch {
@@ -226,7 +228,7 @@
 
 // check compares the operators' results with the store's history and the final
 // snapshots of the daemons.
-func (r *race) check() {
+func (r *raceTest) check() {
 	written := r.storeHistory()
 	applied := 0
 	for i, op := range r.ops {
@@ -234,7 +236,7 @@
 		out := op.Output.(result)
 		v, ok := written[tag]
 		if out.unknown && ok {
-			// The write may have taken effect after the operator gave up.
+			// The write may have taken effect after the operator's call returned.
 			out = result{applied: true, version: v}
 			r.ops[i].Return = r.clock.Add(1)
 		}
@@ -258,9 +260,9 @@
 	r.Logf("%d attempts, %d changes applied, counts %+v", len(r.ops), applied, r.platform.Counts())
 }
 
-// storeHistory returns the version of each written tag and checks that each
-// change was made on top of the one before.
-func (r *race) storeHistory() map[string]bramleytack.Revision {
+// storeHistory returns the version at which each tag was written. It checks that
+// each change was based on the previous one.
+func (r *raceTest) storeHistory() map[string]bramleytack.Revision {
 	w, err := r.platform.Watch(r.Context(), btrecord.KindWorkspace, 0)
 	assert.NilError(r, err)
 	defer w.Close()
@@ -279,8 +281,8 @@
 		assert.NilError(r, json.Unmarshal(o.Data, &body))
 		weights[o.Name]++
 		assert.Equal(r, body.Spec.Weight, weights[o.Name], "%s at version %d", o.Name, v)
-		_, twice := written[body.Spec.Tag]
-		assert.Assert(r, !twice, "attempt %s took effect twice", body.Spec.Tag)
+		_, duplicate := written[body.Spec.Tag]
+		assert.Assert(r, !duplicate, "attempt %s took effect twice", body.Spec.Tag)
 		written[body.Spec.Tag] = v
 	}
 	return written
--- a/btstore/server_test.go
+++ b/btstore/server_test.go
@@ -21,14 +21,14 @@
 )
 
 // platform serves the object API over in-memory connections, which work with
-// fake time.
+// the fake clock of synctest.
 type platform struct {
 	*btmemstore.Store
 	conns chan net.Conn
 	dials atomic.Int64
 	done  chan struct{}
-	// hold, if set, runs before each call.
-	hold func(*http.Request)
+	// beforeCall, if set, runs before each call.
+	beforeCall func(*http.Request)
 	// beforeLoss, if set, runs between a write and the loss of its response.
 	beforeLoss func()
 }
@@ -43,8 +43,8 @@
 	mux.HandleFunc("GET /watch/{kind}", p.watch)
 	mux.HandleFunc("GET /hosts", p.hosts)
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if p.hold != nil {
-			p.hold(r)
+		if p.beforeCall != nil {
+			p.beforeCall(r)
 		}
 		mux.ServeHTTP(w, r)
 	})}
@@ -103,23 +103,23 @@
 // Addr implements net.Listener.
 func (p *platform) Addr() net.Addr { return &net.UnixAddr{Name: "platform"} }
 
-func key(r *http.Request) bramleytack.Key {
+func pathKey(r *http.Request) bramleytack.Key {
 	return bramleytack.Key{Kind: r.PathValue("kind"), Name: r.PathValue("name")}
 }
 
-func expected(r *http.Request) bramleytack.Revision {
+func expectedVersion(r *http.Request) bramleytack.Revision {
 	v, _ := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
 	return bramleytack.Revision(v)
 }
 
-func wire(o bramleytack.Object) map[string]any {
+func encodeObject(o bramleytack.Object) map[string]any {
 	return map[string]any{
 		"kind": o.Kind, "name": o.Name, "version": o.Version, "changeId": o.ChangeID,
 		"deleted": o.Deleted, "data": json.RawMessage(o.Data),
 	}
 }
 
-func (p *platform) answer(w http.ResponseWriter, v any, err error) {
+func (p *platform) respond(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		_ = json.NewEncoder(w).Encode(v)
@@ -138,17 +138,17 @@
 }
 
 func (p *platform) get(w http.ResponseWriter, r *http.Request) {
-	o, err := p.Get(r.Context(), key(r))
-	p.answer(w, wire(o), err)
+	o, err := p.Get(r.Context(), pathKey(r))
+	p.respond(w, encodeObject(o), err)
 }
 
 func (p *platform) list(w http.ResponseWriter, r *http.Request) {
-	list, rev, err := p.List(r.Context(), key(r).Kind)
+	list, rev, err := p.List(r.Context(), pathKey(r).Kind)
 	objects := []any{}
 	for _, o := range list {
-		objects = append(objects, wire(o))
+		objects = append(objects, encodeObject(o))
 	}
-	p.answer(w, map[string]any{"revision": rev, "objects": objects}, err)
+	p.respond(w, map[string]any{"revision": rev, "objects": objects}, err)
 }
 
 func (p *platform) put(w http.ResponseWriter, r *http.Request) {
@@ -156,14 +156,14 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	o := bramleytack.Object{Key: key(r), ChangeID: r.Header.Get("Bramleytack-Change-Id"), Data: data}
-	v, err := p.Put(r.Context(), o, expected(r))
-	p.answer(w, map[string]any{"version": v}, err)
+	o := bramleytack.Object{Key: pathKey(r), ChangeID: r.Header.Get("Bramleytack-Change-Id"), Data: data}
+	v, err := p.Put(r.Context(), o, expectedVersion(r))
+	p.respond(w, map[string]any{"version": v}, err)
 }
 
 func (p *platform) delete(w http.ResponseWriter, r *http.Request) {
-	v, err := p.Delete(r.Context(), key(r), expected(r))
-	p.answer(w, map[string]any{"version": v}, err)
+	v, err := p.Delete(r.Context(), pathKey(r), expectedVersion(r))
+	p.respond(w, map[string]any{"version": v}, err)
 }
 
 func (p *platform) hosts(w http.ResponseWriter, r *http.Request) {
@@ -172,14 +172,14 @@
 	for _, h := range l.Hosts {
 		hosts = append(hosts, map[string]any{"addr": h.Addr, "leaving": h.Leaving})
 	}
-	p.answer(w, map[string]any{"at": l.At, "hosts": hosts}, err)
+	p.respond(w, map[string]any{"at": l.At, "hosts": hosts}, err)
 }
 
 func (p *platform) watch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	changes, err := p.Watch(r.Context(), key(r).Kind, bramleytack.Revision(after))
+	changes, err := p.Watch(r.Context(), pathKey(r).Kind, bramleytack.Revision(after))
 	if err != nil {
-		p.answer(w, nil, err)
+		p.respond(w, nil, err)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -190,7 +190,7 @@
 		cancel()
 		switch {
 		case err == nil:
-			_ = json.NewEncoder(w).Encode(map[string]any{"object": wire(o)})
+			_ = json.NewEncoder(w).Encode(map[string]any{"object": encodeObject(o)})
 		case !p.Fault().SilentWatches:
 			_ = json.NewEncoder(w).Encode(map[string]any{"heartbeat": true, "revision": p.Revision()})
 		}
--- a/btstore/watch.go
+++ b/btstore/watch.go
@@ -16,11 +16,11 @@
 	"bramleytack"
 )
 
-// SilenceLimit is how long a watch waits for any line. The platform sends a
-// heartbeat each second.
+// SilenceLimit is how long Next waits for a line. The platform sends a heartbeat
+// each second.
 const SilenceLimit = 1500 * time.Millisecond
 
-// ErrWatchClosed is returned by a watch that its owner closed.
+// ErrWatchClosed is returned by Next after Close.
 var ErrWatchClosed = errors.New("btstore: watch is closed")
 
 // watch reads the lines of one watch call.
@@ -43,36 +43,37 @@
 	err       error
 }
 
-// Watch implements bramleytack.Store. The context bounds the opening only.
+// Watch implements bramleytack.Store. ctx bounds only the opening of the watch,
+// which also ends after the call timeout.
 func (c *Client) Watch(ctx context.Context, kind string, after bramleytack.Revision) (bramleytack.Watch, error) {
 	c.counters.watches.Add(1)
 	w, err := c.openWatch(ctx, kind, after)
 	if err != nil {
 		return nil, fmt.Errorf("btstore: watch %s: %w", kind, err)
 	}
-	go w.loop()
+	go w.readLines()
 	return w, nil
 }
 
 func (c *Client) openWatch(ctx context.Context, kind string, after bramleytack.Revision) (*watch, error) {
-	opening, stop := context.WithTimeout(ctx, c.timeout)
-	defer stop()
-	streaming, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	detach := context.AfterFunc(opening, cancel)
+	openCtx, cancelOpen := context.WithTimeout(ctx, c.timeout)
+	defer cancelOpen()
+	streamCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	stopTimeout := context.AfterFunc(openCtx, cancel)
 	path := "/watch/" + url.PathEscape(kind) + "?after=" + formatRevision(after)
-	req, err := c.request(streaming, call{method: http.MethodGet, path: path})
+	req, err := c.newRequest(streamCtx, httpCall{method: http.MethodGet, path: path})
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	resp, err := c.watchResponse(req)
+	resp, err := c.requestWatch(req)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	if !detach() {
+	if !stopTimeout() {
 		resp.Body.Close()
-		return nil, readError(reply{}, opening.Err())
+		return nil, readError(response{}, openCtx.Err())
 	}
 	return &watch{
 		kind: kind, after: after, timer: c.timer, body: resp.Body, cancel: cancel,
@@ -80,17 +81,17 @@
 	}, nil
 }
 
-func (c *Client) watchResponse(req *http.Request) (*http.Response, error) {
+func (c *Client) requestWatch(req *http.Request) (*http.Response, error) {
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, readError(reply{}, err)
+		return nil, readError(response{}, err)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
-	return nil, readError(reply{status: resp.StatusCode, body: text}, err)
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
+	return nil, readError(response{status: resp.StatusCode, body: text}, err)
 }
 
 // Next implements bramleytack.Watch. It is not safe for concurrent use.
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// loop reads lines until the stream ends or the watch is closed.
-func (w *watch) loop() {
+// readLines passes lines to Next until the stream ends or the watch is closed.
+func (w *watch) readLines() {
 	defer w.body.Close()
 	r := bufio.NewReader(w.body)
 	for {
@@ -151,33 +152,34 @@
 }
 
 func (w *watch) readLine(r *bufio.Reader) line {
-	data, err := readLimited(r)
+	data, err := readBoundedLine(r)
 	if err != nil {
-		return w.failed(err)
+		return w.errorLine(err)
 	}
 	o, heartbeat, err := decodeEvent(data)
 	if err == nil && !heartbeat && o.Kind != w.kind {
 		err = errors.Newf("event of kind %q", o.Kind)
 	}
 	if err != nil {
-		return w.failed(err)
+		return w.errorLine(err)
 	}
 	return line{object: o, heartbeat: heartbeat}
 }
 
-func (w *watch) failed(err error) line {
+func (w *watch) errorLine(err error) line {
 	return line{err: fmt.Errorf("btstore: watch %s: %w: %w", w.kind, bramleytack.ErrStoreDown, err)}
 }
 
-// readLimited returns one line of bounded length.
-func readLimited(r *bufio.Reader) ([]byte, error) {
+// readBoundedLine returns the next line. It fails if the line is longer than
+// maxObjectResponse.
+func readBoundedLine(r *bufio.Reader) ([]byte, error) {
 	var data []byte
 	for {
 		part, err := r.ReadSlice('\n')
 		data = append(data, part...)
 		switch {
-		case len(data) > maxObjectReply:
-			return nil, errors.Newf("line is longer than %d bytes", maxObjectReply)
+		case len(data) > maxObjectResponse:
+			return nil, errors.Newf("line is longer than %d bytes", maxObjectResponse)
 		case err == nil:
 			return bytes.TrimSpace(data), nil
 		case !errors.Is(err, bufio.ErrBufferFull):
--- a/btstore/wire.go
+++ b/btstore/wire.go
@@ -10,7 +10,8 @@
 	"bramleytack"
 )
 
-// wireObject is an object on the wire.
+// wireObject is the JSON form of an object or, if Deleted is set, of its
+// tombstone.
 type wireObject struct {
 	Kind     string          `json:"kind"`
 	Name     string          `json:"name"`
@@ -20,7 +21,7 @@
 	Data     json.RawMessage `json:"data,omitempty"`
 }
 
-// wireList is the answer to a list call.
+// wireList is the response to a list call.
 type wireList struct {
 	Revision uint64       `json:"revision"`
 	Objects  []wireObject `json:"objects"`
@@ -33,12 +34,12 @@
 	Revision  uint64      `json:"revision,omitempty"`
 }
 
-// wireVersion is the answer to a write.
+// wireVersion is the response to a write.
 type wireVersion struct {
 	Version uint64 `json:"version"`
 }
 
-// wireHosts is the answer to a host list call.
+// wireHosts is the response to a request for the host list.
 type wireHosts struct {
 	At    time.Time  `json:"at"`
 	Hosts []wireHost `json:"hosts"`
@@ -51,7 +52,7 @@
 
 func (w wireObject) object() (bramleytack.Object, error) {
 	if w.Kind == "" || w.Name == "" || w.Version == 0 {
-		return bramleytack.Object{}, errors.New("object without kind, name or version")
+		return bramleytack.Object{}, errors.New("object has no kind, name or version")
 	}
 	return bramleytack.Object{
 		Key:      bramleytack.Key{Kind: w.Kind, Name: w.Name},
@@ -109,10 +110,10 @@
 func decodeVersion(data []byte) (bramleytack.Revision, error) {
 	var w wireVersion
 	if err := json.Unmarshal(data, &w); err != nil {
-		return 0, errors.Wrap(err, "malformed answer to a write")
+		return 0, errors.Wrap(err, "malformed response to a write")
 	}
 	if w.Version == 0 {
-		return 0, errors.New("answer to a write without a version")
+		return 0, errors.New("response to a write has no version")
 	}
 	return bramleytack.Revision(w.Version), nil
 }
@@ -125,7 +126,7 @@
 	l := bramleytack.HostList{At: w.At}
 	for _, h := range w.Hosts {
 		if !h.Addr.IsValid() {
-			return bramleytack.HostList{}, errors.New("host without an address")
+			return bramleytack.HostList{}, errors.New("host has no address")
 		}
 		l.Hosts = append(l.Hosts, bramleytack.HostState{Addr: h.Addr, Leaving: h.Leaving})
 	}
--- a/btstore/write.go
+++ b/btstore/write.go
@@ -12,7 +12,7 @@
 	"bramleytack"
 )
 
-// headerChangeID names the change id of a write.
+// headerChangeID carries the change id of a write.
 const headerChangeID = "Bramleytack-Change-Id"
 
 // write is one conditional write.
@@ -32,14 +32,17 @@
 	effectUnknown effect = iota
 	// effectDone means that the write took effect.
 	effectDone
-	// effectConflict means that this sending had no effect since the version differs.
+	// effectConflict means that this attempt had no effect because the object does
+	// not have the expected version.
 	effectConflict
-	// effectNone means that this sending had no effect.
+	// effectNone means that this attempt failed without an effect.
 	effectNone
-	// effectPending means that the object still has the expected version.
-	effectPending
-	// effectReplaced means that another write followed the expected version.
-	effectReplaced
+	// effectUnchanged means that the write has had no visible effect so far: the
+	// object still has the expected version.
+	effectUnchanged
+	// effectOtherWrite means that the object has changed since the expected
+	// version and that the change cannot be attributed to this write.
+	effectOtherWrite
 )
 
 // Put implements bramleytack.Store. It sets a random change id if o has none.
@@ -62,18 +65,19 @@
 	if w.changeID == "" {
 		w.changeID = rand.Text()
 	}
-	v, err := c.resolve(ctx, w)
+	v, err := c.sendUntilKnown(ctx, w)
 	if err != nil {
 		return 0, fmt.Errorf("btstore: %s %s/%s: %w", w.method, w.key.Kind, w.key.Name, err)
 	}
 	return v, nil
 }
 
-// resolve sends the write until its effect is known or the attempts are used
-// up. Only the first sending can end with a conflict or without an effect;
-// after an unknown effect these outcomes say nothing about earlier sendings.
-func (c *Client) resolve(ctx context.Context, w write) (bramleytack.Revision, error) {
-	v, e, cause := c.send(ctx, w)
+// sendUntilKnown sends the write until its effect is known or no retry is left.
+// Only the result of the first attempt can be a conflict or no effect. Later
+// attempts follow one with an unknown effect, which may have changed the object
+// itself, so that a conflict does not show that the write failed.
+func (c *Client) sendUntilKnown(ctx context.Context, w write) (bramleytack.Revision, error) {
+	v, e, cause := c.sendWrite(ctx, w)
 	switch e {
 	case effectDone:
 		return v, nil
@@ -86,19 +90,18 @@
 		if v, e = c.readBack(ctx, w); e == effectDone {
 			return v, nil
 		}
-		repeatable := e == effectPending && w.expected != 0 && attempt < maxRetries
-		if !repeatable || !c.budget.spend() || c.pause(ctx, attempt) != nil {
+		repeatable := e == effectUnchanged && w.expected != 0 && attempt < maxRetries
+		if !repeatable || !c.budget.take() || c.sleepBackoff(ctx, attempt) != nil {
 			return 0, fmt.Errorf("%w: %w", bramleytack.ErrStoreUnknown, cause)
 		}
 		c.counters.retries.Add(1)
-		if v, e, _ = c.send(ctx, w); e == effectDone {
+		if v, e, _ = c.sendWrite(ctx, w); e == effectDone {
 			return v, nil
 		}
 	}
 }
 
-// send sends the write once.
-func (c *Client) send(ctx context.Context, w write) (bramleytack.Revision, effect, error) {
+func (c *Client) sendWrite(ctx context.Context, w write) (bramleytack.Revision, effect, error) {
 	c.counters.writes.Add(1)
 	header := http.Header{}
 	header.Set("If-Match", formatRevision(w.expected))
@@ -106,7 +109,7 @@
 	if w.data != nil {
 		header.Set("Content-Type", "application/json")
 	}
-	r, sent, err := c.do(ctx, call{method: w.method, path: objectPath(w.key), body: w.data, header: header, limit: maxObjectReply})
+	r, sent, err := c.do(ctx, httpCall{method: w.method, path: objectPath(w.key), body: w.data, header: header, maxBytes: maxObjectResponse})
 	switch {
 	case err != nil && !sent:
 		return 0, effectNone, fmt.Errorf("%w: %w", bramleytack.ErrStoreDown, err)
@@ -128,8 +131,9 @@
 	return 0, effectUnknown, statusError(r)
 }
 
-// readBack reads the object and compares its change id with the write's. An
-// object older than the expected version is a stale read and proves nothing.
+// readBack reads the object and compares its change id with that of the write.
+// An object older than the expected version comes from a stale read, which does
+// not show whether the write took effect.
 func (c *Client) readBack(ctx context.Context, w write) (bramleytack.Revision, effect) {
 	c.counters.readBacks.Add(1)
 	o, err := c.Get(ctx, w.key)
@@ -140,27 +144,28 @@
 	case !missing && o.ChangeID == w.changeID:
 		return o.Version, effectDone
 	case missing && w.expected == 0, !missing && o.Version <= w.expected:
-		return 0, effectPending
+		return 0, effectUnchanged
 	case w.expected == 0:
-		return 0, effectReplaced
+		return 0, effectOtherWrite
 	}
 	return c.findEvent(ctx, w)
 }
 
 // findEvent looks for the write among the events after the expected version.
-// A missing event proves nothing, since the platform may merge events.
+// Without such an event the effect stays unknown, since the platform may merge
+// events of an object.
 func (c *Client) findEvent(ctx context.Context, w write) (bramleytack.Revision, effect) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	events, err := c.Watch(ctx, w.key.Kind, w.expected)
 	if err != nil {
-		return 0, effectReplaced
+		return 0, effectOtherWrite
 	}
 	defer events.Close()
 	for {
 		o, err := events.Next(ctx)
 		if err != nil {
-			return 0, effectReplaced
+			return 0, effectOtherWrite
 		}
 		if o.Key != w.key {
 			continue
@@ -168,6 +173,6 @@
 		if o.ChangeID == w.changeID {
 			return o.Version, effectDone
 		}
-		return 0, effectReplaced
+		return 0, effectOtherWrite
 	}
 }
