--- a/btpeer/doc.go
+++ b/btpeer/doc.go
@@ -1,19 +1,20 @@
-// Package btpeer links the daemons of a cell.
+// Package btpeer carries calls between the daemons of a cell.
 //
 // A link is a TCP connection with mutual TLS 1.3 that carries yamux streams.
 // Each daemon dials the peers that it calls; a link carries the calls of its
-// dialer only. The certificate of each side names its host, and both sides
-// check the other's name. An exchange uses one stream: a frame with an
-// Envelope, which names the message type and the relative deadline, a frame
-// with the message, and the same for the reply.
+// dialer only. The certificate of each side names its host. The dialer checks
+// that it reached the host that it meant to call; the listening side takes the
+// caller's host from the certificate. A call uses one stream: the request is a
+// frame with an Envelope, which holds the message type and the timeout, and a
+// frame with the message. The reply has the same form.
 //
-// The dialer sends a heartbeat each second and closes a link that does not
-// answer one for 3 s; it then dials again. The listening side closes a link on
-// which no heartbeat arrives. A connection that became silent is thereby
-// replaced by a new one.
+// The dialer sends a heartbeat each second. If one is not answered within 3 s,
+// the dialer closes the link and dials again. The listening side closes a link
+// on which nothing arrives. Both sides thereby detect a connection that stopped
+// delivering data without being closed.
 //
-// A failed Call carries bramleytack.NotRun only if no byte of the request was
-// written, or if the peer says so.
+// The error of a failed Call has the outcome bramleytack.NotRun only if no byte
+// of the request was written or the peer's reply has that outcome.
 //
 // # Usage
 //
--- a/btpeer/dump.go
+++ b/btpeer/dump.go
@@ -8,7 +8,8 @@
 	"bramleytack"
 )
 
-// State is the state dump of a Node.
+// State is the state of a Node in the daemon's debug dump. Inbound is the number
+// of links that peers dialed.
 type State struct {
 	Host    bramleytack.HostID `json:"host"`
 	Links   []LinkState        `json:"links"`
@@ -30,12 +31,12 @@
 	Calls int `json:"calls"`
 }
 
-// Dump returns the current State.
+// Dump returns the current State, with the links in the order of their hosts.
 func (n *Node) Dump() any {
 	t := n.Traffic()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s := State{Host: n.Host, Inbound: len(n.served), Traffic: t}
+	s := State{Host: n.Host, Inbound: len(n.inbound), Traffic: t}
 	for _, l := range n.links {
 		s.Links = append(s.Links, l.state())
 	}
@@ -48,6 +49,6 @@
 	defer l.mu.Unlock()
 	return LinkState{
 		Host: l.host, Addr: l.addr, Up: l.sess != nil && !l.sess.IsClosed(),
-		Dialed: l.dialed, FailedDials: l.fails, Calls: len(l.slots),
+		Dialed: l.dialed, FailedDials: l.failedDials, Calls: len(l.slots),
 	}
 }
--- a/btpeer/errors.go
+++ b/btpeer/errors.go
@@ -12,13 +12,14 @@
 
 // Causes of failed calls.
 var (
-	// ErrUnknownPeer is the cause when no address of the peer is known.
+	// ErrUnknownPeer means that no address was set for the peer.
 	ErrUnknownPeer = errors.New("btpeer: address of the peer is not known")
-	// ErrLinkDown is the cause when there is no link to the peer.
+	// ErrLinkDown means that there is no connection to the peer.
 	ErrLinkDown = errors.New("btpeer: link is down")
 )
 
-// callError returns the Error of an exchange that failed on this side.
+// callError returns the Error of a call that failed without a reply. written
+// reports whether any part of the request may have reached the peer.
 func callError(ctx context.Context, to bramleytack.HostID, written bool, err error) error {
 	outcome, code := bramleytack.NotRun, bramleytack.CodeNoUpstream
 	if written {
@@ -48,10 +49,10 @@
 		WithRetryAfter(e.GetRetryAfter().AsDuration())
 }
 
-// remoteError is a failure that the peer reported.
+// remoteError is an error reply of the peer.
 type remoteError struct{ e *btwire.Error }
 
 // Error returns the peer's message.
-func (r *remoteError) Error() string { return "btpeer: peer reports " + r.e.GetMessage() }
+func (r *remoteError) Error() string { return "btpeer: error from peer: " + r.e.GetMessage() }
 
 func asRemote(err error, target **remoteError) bool { return err != nil && errors.As(err, target) }
--- a/btpeer/frame.go
+++ b/btpeer/frame.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// MaxFrameBytes bounds a message. It leaves room for the largest object of
-	// the store and its fields.
+	// MaxFrameBytes bounds an encoded message. It is large enough for the largest
+	// object of the store.
 	MaxFrameBytes = 4 << 20
-	// maxEnvelopeBytes bounds the first frame of an exchange.
+	// maxEnvelopeBytes bounds the first frame of a request or reply.
 	maxEnvelopeBytes = 64 << 10
 	// lengthBytes is the size of a frame's length prefix.
 	lengthBytes = 4
@@ -48,7 +48,8 @@
 	if int64(n) > int64(limit) {
 		return errors.Wrapf(ErrFrameTooLong, "%d bytes", n)
 	}
-	// The buffer grows with what arrives, so that a length alone costs nothing.
+	// The buffer grows as data arrives, so that a false length prefix does not
+	// allocate memory.
 	var body bytes.Buffer
 	if _, err := io.CopyN(&body, r, int64(n)); err != nil {
 		return errors.Wrap(err, "btpeer: read frame")
--- a/btpeer/frame_test.go
+++ b/btpeer/frame_test.go
@@ -10,8 +10,8 @@
 	"bramleytack/btwire"
 )
 
-// FuzzReadFrame guards against panics and large allocations on foreign input,
-// and against frames that change on their way.
+// FuzzReadFrame guards against panics and large allocations on malformed input,
+// and against messages that change when they are encoded and decoded again.
 func FuzzReadFrame(f *testing.F) {
 	seed, err := appendFrame(nil, &btwire.Envelope{Type: "t", Error: &btwire.Error{Code: "c"}}, maxEnvelopeBytes)
 	assert.NilError(f, err)
@@ -23,10 +23,10 @@
 		if readFrame(bytes.NewReader(data), &m, maxEnvelopeBytes) != nil {
 			return
 		}
-		again, err := appendFrame(nil, &m, 2*maxEnvelopeBytes)
+		reencoded, err := appendFrame(nil, &m, 2*maxEnvelopeBytes)
 		assert.NilError(t, err)
 		var copied btwire.Envelope
-		assert.NilError(t, readFrame(bytes.NewReader(again), &copied, 2*maxEnvelopeBytes))
+		assert.NilError(t, readFrame(bytes.NewReader(reencoded), &copied, 2*maxEnvelopeBytes))
 		assert.Assert(t, proto.Equal(&m, &copied))
 	})
 }
--- a/btpeer/inbound.go
+++ b/btpeer/inbound.go
@@ -11,7 +11,7 @@
 	"bramleytack/btwire"
 )
 
-// inbound is a link that a peer dialed.
+// inbound is a link that a peer dialed. from is the peer's host.
 type inbound struct {
 	node   *Node
 	conn   *countedConn
@@ -27,13 +27,13 @@
 	_ = in.conn.Close()
 }
 
-// run serves the link to its end.
+// run does the handshakes and serves calls until the link closes.
 func (in *inbound) run() {
-	defer in.node.forget(in)
+	defer in.node.removeInbound(in)
 	defer in.close()
 	ctx, cancel := context.WithTimeout(in.ctx, handshakeTimeout)
 	defer cancel()
-	secured, from, err := in.node.server(ctx, in.conn)
+	secured, from, err := in.node.secureInbound(ctx, in.conn)
 	if err != nil {
 		return
 	}
@@ -46,8 +46,8 @@
 		_ = in.conn.Close()
 		_ = sess.Close()
 	})
-	in.active.Go(in.watch)
-	in.loop(sess)
+	in.active.Go(in.closeWhenSilent)
+	in.acceptStreams(sess)
 	in.cancel()
 	in.active.Wait()
 	if stop() {
@@ -55,9 +55,10 @@
 	}
 }
 
-// watch closes the link when nothing arrives, not even heartbeats.
-func (in *inbound) watch() {
-	tick := in.node.Timer.Every(inboundSilence, 0)
+// closeWhenSilent closes the link if no byte arrived for inboundTimeout. The
+// heartbeats keep an idle link open.
+func (in *inbound) closeWhenSilent() {
+	tick := in.node.Timer.Every(inboundTimeout, 0)
 	defer tick.Stop()
 	for last := uint64(0); ; {
 		select {
@@ -74,8 +75,8 @@
 	}
 }
 
-// loop accepts streams.
-func (in *inbound) loop(sess *yamux.Session) {
+// acceptStreams serves each stream until the session ends.
+func (in *inbound) acceptStreams(sess *yamux.Session) {
 	for {
 		st, err := sess.AcceptStream()
 		if err != nil {
@@ -85,20 +86,20 @@
 		case in.slots <- struct{}{}:
 			in.active.Go(func() { in.serve(st) })
 		default:
-			in.refuse(st)
+			in.rejectStream(st)
 		}
 	}
 }
 
-// refuse answers a stream over the limit without reading it.
-func (in *inbound) refuse(st *yamux.Stream) {
+// rejectStream answers a call over the limit with an error, without reading it.
+func (in *inbound) rejectStream(st *yamux.Stream) {
 	defer func() { _ = st.Close() }()
 	_ = st.SetDeadline(in.node.Timer.Now().Add(minBackoff))
 	err := bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "too many calls on the link")
 	in.reply(st, nil, err)
 }
 
-// serve answers one stream.
+// serve handles the call on one stream.
 func (in *inbound) serve(st *yamux.Stream) {
 	defer func() { <-in.slots }()
 	defer func() { _ = st.Close() }()
@@ -127,13 +128,13 @@
 	h, ok := in.node.Mux.handler(name)
 	if !ok {
 		in.node.traffic.received(unknownType, r.bytes)
-		return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "no handler for %q", name)
+		return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "no handler for message type %q", name)
 	}
 	defer func() { in.node.traffic.received(name, r.bytes) }()
 	return h(ctx, in.from, r)
 }
 
-// reply writes the answer of one exchange.
+// reply writes the reply or the error of a call.
 func (in *inbound) reply(st *yamux.Stream, m proto.Message, err error) {
 	env := &btwire.Envelope{}
 	if err != nil {
--- a/btpeer/link.go
+++ b/btpeer/link.go
@@ -22,19 +22,19 @@
 	maxBackoff = 2 * time.Second
 )
 
-// link is the outbound link to one peer.
+// link keeps an outbound connection to one peer.
 type link struct {
-	node   *Node
-	host   bramleytack.HostID
-	addr   netip.AddrPort
-	ctx    context.Context
-	stop   context.CancelFunc
-	slots  chan struct{}
-	mu     sync.Mutex
-	sess   *yamux.Session
-	dialed int
-	fails  int
-	// attempt is closed when the current attempt to dial ends. It is nil
+	node        *Node
+	host        bramleytack.HostID
+	addr        netip.AddrPort
+	ctx         context.Context
+	stop        context.CancelFunc
+	slots       chan struct{}
+	mu          sync.Mutex
+	sess        *yamux.Session
+	dialed      int
+	failedDials int
+	// attempt is closed when the current attempt to connect ends. It is nil
 	// between attempts.
 	attempt chan struct{}
 }
@@ -46,21 +46,21 @@
 	return l
 }
 
-// run keeps the link up until stop is called.
+// run dials the peer, and dials again after each failure, until stop is called.
 func (l *link) run() {
 	for l.ctx.Err() == nil {
 		conn, sess, err := l.dial()
-		l.attempted(sess)
+		l.endAttempt(sess)
 		if err == nil {
-			l.hold(sess)
+			l.monitor(sess)
 			_ = conn.Close()
 			_ = sess.Close()
-			l.lost()
+			l.clearSession()
 		}
 		if l.node.Timer.Sleep(l.ctx, l.backoff()) != nil {
 			return
 		}
-		l.begin()
+		l.beginAttempt()
 	}
 }
 
@@ -72,7 +72,7 @@
 		return nil, nil, err
 	}
 	conn = &countedConn{Conn: conn, total: &l.node.traffic}
-	secured, err := l.node.client(ctx, conn, l.host)
+	secured, err := l.node.secureOutbound(ctx, conn, l.host)
 	if err != nil {
 		_ = conn.Close()
 		return nil, nil, err
@@ -85,8 +85,9 @@
 	return conn, sess, nil
 }
 
-// hold returns when the session ended or a heartbeat was not answered.
-func (l *link) hold(sess *yamux.Session) {
+// monitor sends heartbeats. It returns when the session or the link ends or a
+// heartbeat is not answered in time.
+func (l *link) monitor(sess *yamux.Session) {
 	tick := l.node.Timer.Every(pingPeriod, pingPeriod/10)
 	defer tick.Stop()
 	for {
@@ -103,8 +104,8 @@
 	}
 }
 
-// ping reports whether the peer answered. It uses the ping frame of yamux: an
-// exchange of its own costs about six times as many bytes on the wire, and a
+// ping reports whether the peer answered a heartbeat. It uses the ping frame of
+// yamux: a call would take about six times as many bytes on the wire, and a
 // member of a full cell sends and answers 31 heartbeats a second.
 func (l *link) ping(sess *yamux.Session) bool {
 	ctx, cancel := context.WithTimeout(l.ctx, pingTimeout)
@@ -115,33 +116,33 @@
 	return err == nil
 }
 
-func (l *link) begin() {
+func (l *link) beginAttempt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempt = make(chan struct{})
 }
 
-func (l *link) attempted(sess *yamux.Session) {
+func (l *link) endAttempt(sess *yamux.Session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sess = sess
-	l.fails++
+	l.failedDials++
 	if sess != nil {
 		l.dialed++
-		l.fails = 0
+		l.failedDials = 0
 	}
 	close(l.attempt)
 	l.attempt = nil
 }
 
-func (l *link) lost() {
+func (l *link) clearSession() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sess = nil
 }
 
-// reset ends the current session.
-func (l *link) reset() {
+// closeSession closes the current session, if any. run then dials again.
+func (l *link) closeSession() {
 	l.mu.Lock()
 	sess := l.sess
 	l.mu.Unlock()
@@ -150,18 +151,19 @@
 	}
 }
 
-// backoff returns the wait before the next attempt: twice as long after each
-// failure, with a random half.
+// backoff returns the delay before the next attempt. The full delay doubles with
+// each failure up to maxBackoff; the result is random, from half of the full
+// delay up to all of it.
 func (l *link) backoff() time.Duration {
 	const maxDoublings = 6
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := min(minBackoff<<min(l.fails, maxDoublings), maxBackoff)
+	d := min(minBackoff<<min(l.failedDials, maxDoublings), maxBackoff)
 	return d/2 + rand.N(d/2)
 }
 
-// session returns the current session. It waits for an attempt that is under
-// way and fails at once between attempts.
+// session returns the current session. It waits while an attempt to connect is
+// in progress. Between attempts it returns ErrLinkDown at once.
 func (l *link) session(ctx context.Context) (*yamux.Session, error) {
 	l.mu.Lock()
 	sess, attempt := l.sess, l.attempt
@@ -184,8 +186,8 @@
 	return sess, nil
 }
 
-// call does one exchange. Written tells whether the peer may have got the
-// request.
+// call makes one call. written reports whether any part of the request may have
+// reached the peer.
 func (l *link) call(ctx context.Context, req, resp proto.Message) (written bool, err error) {
 	select {
 	case l.slots <- struct{}{}:
@@ -202,8 +204,9 @@
 	return l.exchange(ctx, sess, req, resp)
 }
 
-// Call sends a request to a peer and returns its reply. A failure is a
-// *bramleytack.Error; see the package comment for its outcome.
+// Call sends a request to a peer and returns its reply. The deadline of ctx also
+// bounds the handling at the peer. An error is a *bramleytack.Error; the package
+// comment describes its outcome.
 func Call[Req, Resp any, PReq message[Req], PResp message[Resp]](
 	ctx context.Context, n *Node, to bramleytack.HostID, r *Req,
 ) (*Resp, error) {
@@ -261,8 +264,8 @@
 
 func encodeRequest(ctx context.Context, req proto.Message) ([]byte, error) {
 	env := &btwire.Envelope{Type: typeName(req)}
-	if end, ok := ctx.Deadline(); ok {
-		env.Timeout = durationpb.New(time.Until(end))
+	if deadline, ok := ctx.Deadline(); ok {
+		env.Timeout = durationpb.New(time.Until(deadline))
 	}
 	data, err := appendFrame(nil, env, maxEnvelopeBytes)
 	if err != nil {
--- a/btpeer/mux.go
+++ b/btpeer/mux.go
@@ -11,7 +11,7 @@
 	"bramleytack/btwire"
 )
 
-// message is a pointer to a generated message type.
+// message is satisfied by pointers to generated message types.
 type message[T any] interface {
 	*T
 	proto.Message
@@ -20,7 +20,8 @@
 // handler reads a request message from r and returns the reply message.
 type handler func(ctx context.Context, from bramleytack.HostID, r io.Reader) (proto.Message, error)
 
-// Mux holds the handlers of a node by message type. The zero value is ready.
+// Mux selects the handler of a request by its message type. The zero value is
+// ready to use. It is safe for concurrent use.
 type Mux struct {
 	mu       sync.RWMutex
 	handlers map[string]handler
@@ -39,7 +40,7 @@
 	m.handlers[typeName(PReq(new(Req)))] = func(ctx context.Context, from bramleytack.HostID, r io.Reader) (proto.Message, error) {
 		req := new(Req)
 		if err := readFrame(r, PReq(req), MaxFrameBytes); err != nil {
-			return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "message cannot be read").WithCause(err)
+			return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "malformed message").WithCause(err)
 		}
 		resp, err := f(ctx, from, req)
 		if err != nil {
@@ -63,7 +64,7 @@
 	return string(m.ProtoReflect().Descriptor().FullName())
 }
 
-// pong answers the heartbeat of a link.
+// pong answers a Ping message. Nodes of this version send yamux pings instead.
 func pong(_ context.Context, _ bramleytack.HostID, r io.Reader) (proto.Message, error) {
 	var p btwire.Ping
 	if err := readFrame(r, &p, maxEnvelopeBytes); err != nil {
--- a/btpeer/node.go
+++ b/btpeer/node.go
@@ -14,30 +14,34 @@
 )
 
 const (
-	// pingPeriod spaces the heartbeats of a link.
+	// pingPeriod is the time between the heartbeats of a link.
 	pingPeriod = time.Second
-	// pingTimeout is how long a heartbeat waits for its answer.
+	// pingTimeout is how long the dialer waits for the answer to a heartbeat.
 	pingTimeout = 3 * time.Second
-	// inboundSilence is how long the listening side waits for a heartbeat.
-	inboundSilence = 5 * time.Second
-	// handshakeTimeout bounds dialing and the handshakes of a link.
+	// inboundTimeout is the period at which the listening side closes links that
+	// received nothing since the last check.
+	inboundTimeout = 5 * time.Second
+	// handshakeTimeout bounds the set-up of a link: dialing and handshakes
+	// together on the dialing side, handshakes on the listening side.
 	handshakeTimeout = 3 * time.Second
-	// maxInbound bounds the streams that one link may have open.
+	// maxInbound bounds the calls that run at the same time on an inbound link.
 	maxInbound = 128
-	// maxOutbound stays below streamBacklog: yamux blocks the opening of
-	// streams, without regard to contexts, once the backlog is full.
+	// maxOutbound bounds the concurrent calls on an outbound link. It is below
+	// streamBacklog because yamux blocks OpenStream when the backlog is full, and
+	// a context cannot interrupt that.
 	maxOutbound   = 200
 	streamBacklog = 256
-	// maxTimeout bounds the deadline that a caller may ask for.
+	// maxTimeout bounds the handling of a call, also if the calling peer sets a
+	// longer timeout or none.
 	maxTimeout = time.Minute
 )
 
-// Dialer opens connections to peers.
+// Dialer opens connections to peers. It must be safe for concurrent use.
 type Dialer interface {
 	DialPeer(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 }
 
-// TCPDialer dials over TCP. The zero value is ready.
+// TCPDialer is a Dialer for TCP. The zero value is ready to use.
 type TCPDialer struct{}
 
 // DialPeer opens a TCP connection.
@@ -46,8 +50,8 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Node is a daemon's end of its links. The exported fields are set before the
-// first call and not changed after it.
+// Node manages the links of one daemon. Its exported fields must not change
+// after the first use. The methods are safe for concurrent use.
 type Node struct {
 	Host  bramleytack.HostID
 	Timer bramleytack.Timer
@@ -55,17 +59,17 @@
 	Mux *Mux
 	// Dialer is TCPDialer when nil.
 	Dialer Dialer
-	// Certificates secure the links.
+	// Certificates authenticates both sides of each link with TLS.
 	Certificates *Certificates
 	// AllowPlaintext permits links without TLS if Certificates is nil. The host
 	// name that a peer gives is then not verified. For tests only.
 	AllowPlaintext bool
 
-	mu     sync.Mutex
-	closed bool
-	links  map[bramleytack.HostID]*link
-	served map[*inbound]struct{}
-	active sync.WaitGroup
+	mu      sync.Mutex
+	closed  bool
+	links   map[bramleytack.HostID]*link
+	inbound map[*inbound]struct{}
+	active  sync.WaitGroup
 
 	traffic traffic
 }
@@ -73,7 +77,8 @@
 // ErrClosed is returned after Close.
 var ErrClosed = errors.New("btpeer: node is closed")
 
-// SetPeer makes a peer's address known and keeps a link to it from now on.
+// SetPeer sets a peer's address and keeps a link to it until RemovePeer or
+// Close. A new address replaces the link.
 func (n *Node) SetPeer(host bramleytack.HostID, addr netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,15 +99,16 @@
 	n.active.Go(l.run)
 }
 
-// Redial replaces the link to a peer by a new one. A caller that gets no
-// answer need not wait for the link's heartbeat to find it silent.
+// Redial closes the connection to a peer, which is then dialed again. It serves
+// callers that got no reply and suspect a dead connection before the heartbeat
+// detects it.
 func (n *Node) Redial(host bramleytack.HostID) {
 	if l, ok := n.link(host); ok {
-		l.reset()
+		l.closeSession()
 	}
 }
 
-// RemovePeer closes the link to a peer and forgets its address.
+// RemovePeer closes the link to a peer and removes its address.
 func (n *Node) RemovePeer(host bramleytack.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,7 +131,8 @@
 			return err
 		}
 		if err != nil {
-			// Running out of descriptors is temporary.
+			// Other errors are taken as temporary, such as a lack of file
+			// descriptors.
 			if err := n.Timer.Sleep(ctx, pingPeriod); err != nil {
 				return err
 			}
@@ -142,7 +149,7 @@
 	for _, l := range n.links {
 		l.stop()
 	}
-	for in := range n.served {
+	for in := range n.inbound {
 		in.close()
 	}
 	n.mu.Unlock()
@@ -158,17 +165,17 @@
 		in.close()
 		return
 	}
-	if n.served == nil {
-		n.served = map[*inbound]struct{}{}
+	if n.inbound == nil {
+		n.inbound = map[*inbound]struct{}{}
 	}
-	n.served[in] = struct{}{}
+	n.inbound[in] = struct{}{}
 	n.active.Go(in.run)
 }
 
-func (n *Node) forget(in *inbound) {
+func (n *Node) removeInbound(in *inbound) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.served, in)
+	delete(n.inbound, in)
 }
 
 func (n *Node) link(host bramleytack.HostID) (*link, bool) {
@@ -187,26 +194,26 @@
 
 func yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
-	// The link's own heartbeat replaces the keepalive.
+	// link.monitor sends the heartbeats instead.
 	cfg.EnableKeepAlive = false
 	cfg.AcceptBacklog = streamBacklog
 	cfg.ConnectionWriteTimeout = pingTimeout
 	cfg.StreamOpenTimeout = 0
 	cfg.StreamCloseTimeout = pingTimeout
 	cfg.LogOutput = nil
-	cfg.Logger = quiet{}
+	cfg.Logger = discardLogger{}
 	return cfg
 }
 
-// quiet drops the log lines of yamux: each failure reaches a caller or closes
-// the link.
-type quiet struct{}
+// discardLogger drops the log lines of yamux. Each failure that they report also
+// fails a call or closes the link.
+type discardLogger struct{}
 
 // Print drops a line.
-func (quiet) Print(...any) {}
+func (discardLogger) Print(...any) {}
 
 // Printf drops a line.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Println drops a line.
-func (quiet) Println(...any) {}
+func (discardLogger) Println(...any) {}
--- a/btpeer/node_test.go
+++ b/btpeer/node_test.go
@@ -37,20 +37,22 @@
 	network *btmemnet.Network
 	a, b    *Node
 	runs    atomic.Int64
-	hold    chan struct{}
+	unblock chan struct{}
 	once    sync.Once
 }
 
-// withPair runs f with a node a that is linked to a node b, on fake time.
+// withPair runs f in a synctest bubble with a node a that has a link to a node
+// b.
 func withPair(t *testing.T, name string, f func(t *testing.T, p *pair)) {
 	t.Run(name, func(t *testing.T) {
-		// yamux pools timers, which must not pass from one bubble to the next.
+		// yamux keeps timers in a sync.Pool. A timer must not be used in another
+		// bubble; two collections empty the pool.
 		runtime.GC()
 		runtime.GC()
 		synctest.Test(t, func(t *testing.T) {
 			timers := bttimer.New(1)
 			defer timers.Close()
-			p := &pair{network: &btmemnet.Network{}, hold: make(chan struct{})}
+			p := &pair{network: &btmemnet.Network{}, unblock: make(chan struct{})}
 			p.a = p.node(timers, "a", addrA)
 			p.b = p.node(timers, "b", addrB)
 			Handle(p.b.Mux, p.release)
@@ -60,7 +62,7 @@
 			go func() { served <- p.b.Serve(ctx, l) }()
 			p.a.SetPeer("b", addrB)
 			defer func() {
-				p.resume()
+				p.unblockCalls()
 				cancel()
 				<-served
 				p.a.Close()
@@ -71,8 +73,8 @@
 	})
 }
 
-// resume ends the calls that are held.
-func (p *pair) resume() { p.once.Do(func() { close(p.hold) }) }
+// unblockCalls lets the calls with the grant "block" return.
+func (p *pair) unblockCalls() { p.once.Do(func() { close(p.unblock) }) }
 
 func (p *pair) node(timers bramleytack.Timer, host bramleytack.HostID, addr netip.AddrPort) *Node {
 	return &Node{
@@ -86,9 +88,9 @@
 	switch r.GetGrant() {
 	case "refuse":
 		return nil, bramleytack.NewError(bramleytack.CodeOverloaded, bramleytack.NotRun, "full").WithRetryAfter(time.Second)
-	case "hold":
+	case "block":
 		// The reply must not race with the caller's deadline.
-		<-p.hold
+		<-p.unblock
 	}
 	return &btwire.ReleaseReply{Known: from == "a"}, nil
 }
@@ -108,14 +110,15 @@
 	assert.Equal(t, bramleytack.OutcomeOf(err), o, "%v", err)
 }
 
-// Guards against lost codes and outcomes, and against links that stay dead.
+// Guards against errors that lose their code or outcome on the way to the
+// caller, and against links that are not restored.
 func TestCall(t *testing.T) {
 	withPair(t, "a reply and the peer's name arrive", func(t *testing.T, p *pair) {
 		r, err := p.call(t, "g", time.Second)
 		assert.NilError(t, err)
 		assert.Assert(t, r.GetKnown())
 	})
-	withPair(t, "an error keeps code, outcome and advice", func(t *testing.T, p *pair) {
+	withPair(t, "an error keeps its code, outcome and retry delay", func(t *testing.T, p *pair) {
 		_, err := p.call(t, "refuse", time.Second)
 		assertFails(t, err, bramleytack.CodeOverloaded, bramleytack.NotRun)
 		assert.Equal(t, bramleytack.AsError(err).RetryAfter, time.Second)
@@ -129,7 +132,7 @@
 		assertFails(t, err, bramleytack.CodeNoUpstream, bramleytack.NotRun)
 	})
 	withPair(t, "a written request without a reply is unknown", func(t *testing.T, p *pair) {
-		_, err := p.call(t, "hold", time.Second)
+		_, err := p.call(t, "block", time.Second)
 		assertFails(t, err, bramleytack.CodeTimeout, bramleytack.Unknown)
 		assert.Equal(t, p.runs.Load(), int64(1))
 	})
@@ -143,13 +146,13 @@
 			time.Sleep(100 * time.Millisecond)
 			p.network.Cut(addrA.Addr(), addrB.Addr())
 		}()
-		_, err := p.call(t, "hold", 2*time.Second)
+		_, err := p.call(t, "block", 2*time.Second)
 		assertFails(t, err, bramleytack.CodeUpstreamFailed, bramleytack.Unknown)
 		time.Sleep(time.Second)
 		_, err = p.call(t, "g", time.Second)
 		assert.NilError(t, err)
 	})
-	withPair(t, "a silent link is replaced after its heartbeat", func(t *testing.T, p *pair) {
+	withPair(t, "a silent link is replaced after an unanswered heartbeat", func(t *testing.T, p *pair) {
 		_, err := p.call(t, "g", time.Second)
 		assert.NilError(t, err)
 		p.network.Silence(addrA.Addr(), addrB.Addr())
@@ -159,7 +162,7 @@
 		_, err = p.call(t, "g", time.Second)
 		assert.NilError(t, err)
 		assert.Equal(t, p.link().Dialed, 2)
-		time.Sleep(2 * inboundSilence)
+		time.Sleep(2 * inboundTimeout)
 		assert.Equal(t, p.b.Dump().(State).Inbound, 1)
 	})
 	withPair(t, "a slow link delays calls and stays up", func(t *testing.T, p *pair) {
@@ -171,7 +174,7 @@
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, p.link().Dialed, 1)
 	})
-	withPair(t, "a blocked path is not run and comes back", func(t *testing.T, p *pair) {
+	withPair(t, "calls on a blocked path are not run and the link recovers", func(t *testing.T, p *pair) {
 		_, err := p.call(t, "g", time.Second)
 		assert.NilError(t, err)
 		p.network.Block(addrB.Addr(), addrA.Addr(), true)
@@ -183,22 +186,22 @@
 		_, err = p.call(t, "g", time.Second)
 		assert.NilError(t, err)
 	})
-	withPair(t, "calls over the limit of a link are refused as not run", func(t *testing.T, p *pair) {
+	withPair(t, "calls over the limit of a link are rejected as not run", func(t *testing.T, p *pair) {
 		for range maxInbound {
-			go func() { _, _ = p.call(t, "hold", time.Minute) }()
+			go func() { _, _ = p.call(t, "block", time.Minute) }()
 		}
 		synctest.Wait()
 		_, err := p.call(t, "g", time.Second)
 		assertFails(t, err, bramleytack.CodeOverloaded, bramleytack.NotRun)
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, p.link().Dialed, 1)
-		p.resume()
+		p.unblockCalls()
 		synctest.Wait()
 		_, err = p.call(t, "g", time.Second)
 		assert.NilError(t, err)
 	})
-	withPair(t, "plain links need the setting", func(t *testing.T, _ *pair) {
-		_, err := (&Node{Host: "c"}).client(t.Context(), nil, "b")
+	withPair(t, "links without TLS need AllowPlaintext", func(t *testing.T, _ *pair) {
+		_, err := (&Node{Host: "c"}).secureOutbound(t.Context(), nil, "b")
 		assert.ErrorIs(t, err, errInsecure)
 	})
 }
@@ -243,8 +246,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// connect returns both ends of a loopback connection. The ends of a net.Pipe
-// would block each other when one side sends an alert while the other writes.
+// connect returns both ends of a loopback connection. With net.Pipe, a side that
+// sends an alert while the other side writes would block both.
 func connect(t *testing.T) (dialed, accepted net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -256,7 +259,8 @@
 	return dialed, accepted
 }
 
-// Guards against links to or from hosts that are not who they claim to be.
+// Guards against links to or from a host whose certificate has another name or
+// another CA, and against certificates that are not reloaded.
 func TestCertificates(t *testing.T) {
 	runtime.GC()
 	runtime.GC()
@@ -273,13 +277,13 @@
 		done := make(chan result, 1)
 		go func() {
 			defer func() { _ = s.Close() }()
-			secured, host, err := (&Node{Certificates: server}).server(ctx, s)
+			secured, host, err := (&Node{Certificates: server}).secureInbound(ctx, s)
 			if err == nil {
 				_, err = secured.Write([]byte{1})
 			}
 			done <- result{host, err}
 		}()
-		secured, err := (&Node{Certificates: client}).client(ctx, c, name)
+		secured, err := (&Node{Certificates: client}).secureOutbound(ctx, c, name)
 		if err == nil {
 			_, err = secured.Read(make([]byte, 1))
 		}
--- a/btpeer/secure.go
+++ b/btpeer/secure.go
@@ -15,34 +15,36 @@
 	"bramleytack/btwire"
 )
 
-// Certificates are the files of a host's certificate, its key and the
-// authority that signs all hosts. The certificate has one DNS name, the host
-// id. The files are read again when they changed, for new links.
+// Certificates names the files of a host's certificate, its key and the CA that
+// signs the certificates of all hosts. The certificate has one DNS name, the
+// host id. Changed files are read again and take effect for new links. It is
+// safe for concurrent use.
 type Certificates struct {
 	CertFile string
 	KeyFile  string
 	CAFile   string
 
-	mu     sync.Mutex
-	stamps [3]stamp
-	cert   tls.Certificate
-	pool   *x509.CertPool
+	mu       sync.Mutex
+	versions [3]fileVersion
+	cert     tls.Certificate
+	pool     *x509.CertPool
 }
 
-// stamp identifies a state of a file.
-type stamp struct {
+// fileVersion is compared to detect that a file changed.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// Load reads the files if they changed. While they cannot be read, the former
-// state stays in use. It fails if there is none.
+// Load returns the host's certificate and the CA pool. It reads the files if
+// they changed. If that fails, it returns the last certificates that it read; it
+// returns an error only if there are none.
 func (c *Certificates) Load() (tls.Certificate, *x509.CertPool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	stamps, err := c.stat()
-	if err == nil && (c.pool == nil || stamps != c.stamps) {
-		err = c.read(stamps)
+	versions, err := c.stat()
+	if err == nil && (c.pool == nil || versions != c.versions) {
+		err = c.read(versions)
 	}
 	if c.pool == nil {
 		return tls.Certificate{}, nil, errors.Wrap(err, "btpeer: certificates")
@@ -50,19 +52,19 @@
 	return c.cert, c.pool, nil
 }
 
-func (c *Certificates) stat() ([3]stamp, error) {
-	var stamps [3]stamp
+func (c *Certificates) stat() ([3]fileVersion, error) {
+	var versions [3]fileVersion
 	for i, name := range []string{c.CertFile, c.KeyFile, c.CAFile} {
 		info, err := os.Stat(name)
 		if err != nil {
-			return stamps, err
+			return versions, err
 		}
-		stamps[i] = stamp{info.ModTime(), info.Size()}
+		versions[i] = fileVersion{info.ModTime(), info.Size()}
 	}
-	return stamps, nil
+	return versions, nil
 }
 
-func (c *Certificates) read(stamps [3]stamp) error {
+func (c *Certificates) read(versions [3]fileVersion) error {
 	cert, err := tls.LoadX509KeyPair(c.CertFile, c.KeyFile)
 	if err != nil {
 		return err
@@ -73,9 +75,9 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ca) {
-		return errors.New("btpeer: no certificate of an authority")
+		return errors.New("btpeer: CA file has no certificate")
 	}
-	c.cert, c.pool, c.stamps = cert, pool, stamps
+	c.cert, c.pool, c.versions = cert, pool, versions
 	return nil
 }
 
@@ -90,16 +92,17 @@
 		RootCAs:      pool,
 		ClientCAs:    pool,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		// Resumption would keep a peer's old certificate in use.
+		// A resumed session would keep using the peer's old certificate.
 		SessionTicketsDisabled: true,
 	}, nil
 }
 
 // errInsecure is returned for a node with neither Certificates nor AllowPlaintext.
-var errInsecure = errors.New("btpeer: no certificates, and plain links are not allowed")
+var errInsecure = errors.New("btpeer: no certificates, and plaintext links are not allowed")
 
-// client secures a dialed connection and checks that the peer is host.
-func (n *Node) client(ctx context.Context, c net.Conn, host bramleytack.HostID) (net.Conn, error) {
+// secureOutbound does the TLS handshake on a dialed connection and checks that
+// the peer is host. Without TLS it only sends this node's host.
+func (n *Node) secureOutbound(ctx context.Context, c net.Conn, host bramleytack.HostID) (net.Conn, error) {
 	if n.Certificates == nil {
 		return c, n.sendName(ctx, c)
 	}
@@ -112,8 +115,9 @@
 	return secured, errors.Wrap(secured.HandshakeContext(ctx), "btpeer: handshake")
 }
 
-// server secures an accepted connection and returns the peer's host.
-func (n *Node) server(ctx context.Context, c net.Conn) (net.Conn, bramleytack.HostID, error) {
+// secureInbound does the TLS handshake on an accepted connection and returns the
+// peer's host. Without TLS the peer sends its host.
+func (n *Node) secureInbound(ctx context.Context, c net.Conn) (net.Conn, bramleytack.HostID, error) {
 	if n.Certificates == nil {
 		host, err := n.readName(ctx, c)
 		return c, host, err
@@ -128,7 +132,7 @@
 	}
 	names := secured.ConnectionState().PeerCertificates[0].DNSNames
 	if len(names) != 1 {
-		return nil, "", errors.Newf("btpeer: certificate of a peer has %d names", len(names))
+		return nil, "", errors.Newf("btpeer: peer certificate has %d DNS names, not 1", len(names))
 	}
 	return secured, bramleytack.HostID(names[0]), nil
 }
@@ -141,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	return within(ctx, c, func() error {
+	return withDeadline(ctx, c, func() error {
 		_, err := c.Write(data)
 		return err
 	})
@@ -152,14 +156,14 @@
 		return "", errInsecure
 	}
 	var m btwire.Member
-	err := within(ctx, c, func() error { return readFrame(c, &m, maxEnvelopeBytes) })
+	err := withDeadline(ctx, c, func() error { return readFrame(c, &m, maxEnvelopeBytes) })
 	return bramleytack.HostID(m.GetHost()), err
 }
 
-// within does f with the context's deadline on the connection.
-func within(ctx context.Context, c net.Conn, f func() error) error {
-	if end, ok := ctx.Deadline(); ok {
-		if err := c.SetDeadline(end); err != nil {
+// withDeadline calls f while the connection has the deadline of ctx.
+func withDeadline(ctx context.Context, c net.Conn, f func() error) error {
+	if deadline, ok := ctx.Deadline(); ok {
+		if err := c.SetDeadline(deadline); err != nil {
 			return err
 		}
 	}
--- a/btpeer/traffic.go
+++ b/btpeer/traffic.go
@@ -11,12 +11,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// unknownType stands for the type names of requests without a handler, so that
-// a peer cannot add counters.
+// unknownType counts all requests without a handler, so that a peer cannot add
+// counters without limit by sending made-up type names.
 const unknownType = "unknown"
 
-// MessageCount is the traffic of one message type since the start. Bytes are
-// those of the message with its envelope and the length prefixes.
+// MessageCount is the traffic of one message type since the Node was created.
+// The bytes include the envelope and the length prefixes.
 type MessageCount struct {
 	Type          string `json:"type"`
 	Sent          uint64 `json:"sent"`
@@ -25,16 +25,16 @@
 	ReceivedBytes uint64 `json:"receivedBytes"`
 }
 
-// Traffic is what a node sent and received since the start.
+// Traffic is what a Node has sent and received since it was created.
 type Traffic struct {
 	Messages []MessageCount `json:"messages"`
-	// SentBytes and ReceivedBytes are those of the connections, with the
-	// overhead of TLS and yamux.
+	// SentBytes and ReceivedBytes count all bytes on the connections, including
+	// those of TLS and yamux.
 	SentBytes     uint64 `json:"sentBytes"`
 	ReceivedBytes uint64 `json:"receivedBytes"`
 }
 
-// Traffic returns the counts so far, in the order of the message types.
+// Traffic returns the current counts, with messages in the order of their types.
 func (n *Node) Traffic() Traffic {
 	t := Traffic{SentBytes: n.traffic.sentBytes.Load(), ReceivedBytes: n.traffic.receivedBytes.Load()}
 	n.traffic.mu.RLock()
@@ -112,7 +112,7 @@
 type countedConn struct {
 	net.Conn
 	total *traffic
-	// received counts the bytes of this connection alone.
+	// received counts the bytes of this connection only.
 	received atomic.Uint64
 }
 
--- a/btpeer/traffic_test.go
+++ b/btpeer/traffic_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// Guards against heartbeats that grow: they are most of what an idle link
-// sends, and a member has 62 links in a full cell.
+// Guards against larger heartbeats: they are most of the traffic of an idle link,
+// and a member has 62 links in a full cell.
 func TestIdleLink(t *testing.T) {
 	withPair(t, "a heartbeat is one frame header each way", func(t *testing.T, p *pair) {
 		const (
