--- a/btwire/doc.go
+++ b/btwire/doc.go
@@ -1,14 +1,14 @@
 // Package btwire holds the protobuf messages that daemons exchange over peer
 // links.
 //
-// Each exchange uses one stream. The first frame is an Envelope, which names
-// the type of the message that follows and its relative deadline. The reply is
-// an Envelope as well, with an Error or followed by the reply message.
+// Each call uses one stream. The first frame is an Envelope, which holds the type
+// of the message that follows and the timeout of the call. The reply is an
+// Envelope as well, either with an Error or followed by the reply message.
 //
-// Points in time travel as durations relative to the sending of the message,
-// since the clocks of two hosts need not agree. Codes and outcomes travel as
-// the strings that package bramleytack defines, so that an unknown value keeps
-// its name on its way through an older daemon.
+// Points in time are encoded as durations, most of them relative to the sending
+// of the message, since the clocks of two hosts need not agree. Codes and
+// outcomes are encoded as the strings that package bramleytack defines, so that
+// an older daemon that does not know a value can still pass it on.
 //
 // # Usage
 //
