--- a/btidentity/doc.go
+++ b/btidentity/doc.go
@@ -1,9 +1,9 @@
-// Package btidentity is the filter that finds out who sends a request.
+// Package btidentity implements the filter that authenticates callers.
 //
-// The workspace is found by the SHA-256 hash of the API key; records never hold
-// keys. A caller may ask for a priority up to that of its workspace. A request
-// without a deadline gets the default one, and a deadline is cut to the
-// longest that is allowed.
+// The filter finds the workspace by the SHA-256 hash of the API key; records
+// never hold keys. It limits a request's priority to that of its workspace, gives
+// a request without a deadline the default one and shortens a deadline that is
+// over the limit.
 //
 // # Usage
 //
--- a/btidentity/filter.go
+++ b/btidentity/filter.go
@@ -9,41 +9,41 @@
 	"bramleytack"
 )
 
-// Bounds of a request's deadline, counted from its receipt.
+// Limits of a request's deadline, counted from its receipt.
 const (
-	// DefaultTimeout holds for requests that name no timeout.
+	// DefaultTimeout applies to requests without a timeout.
 	DefaultTimeout = 10 * time.Minute
-	// DefaultMaxTimeout leaves room for outputs of tens of thousands of tokens
-	// at 70 ms each.
+	// DefaultMaxTimeout allows outputs of tens of thousands of tokens at 70 ms
+	// each.
 	DefaultMaxTimeout = 2 * time.Hour
 )
 
 const (
-	// startWait is how long a request waits for the configuration of a daemon
-	// that has just started. Callers reach it by an entry list from before its
-	// restart.
-	startWait = 5 * time.Second
-	// startRetry is the advice to callers after that.
-	startRetry = time.Second
+	// configWait is how long a request waits for the configuration of a daemon
+	// that has just started. Callers send it requests at once if they cached the
+	// entry list before its restart.
+	configWait = 5 * time.Second
+	// configRetryAfter is the Retry-After of requests rejected after that wait.
+	configRetryAfter = time.Second
 )
 
-// Filter implements bramleytack.Filter.
+// Filter implements bramleytack.Filter. Snapshots and Timer are required.
 type Filter struct {
 	Snapshots bramleytack.Snapshots
 	Timer     bramleytack.Timer
 	// Timeout and MaxTimeout replace the defaults when positive.
 	Timeout    time.Duration
 	MaxTimeout time.Duration
-	// ConfigLoaded is closed when the configuration is complete. A part of it could
-	// refuse a caller for good whose record is yet to come. Nil takes it as
-	// complete.
+	// ConfigLoaded is closed when the configuration is complete. Before that, a
+	// caller whose record is not loaded yet would get CodeUnauthenticated, which
+	// is a permanent error. Nil means that the configuration is complete.
 	ConfigLoaded <-chan struct{}
 }
 
 // Handle sets the request's workspace, priority and deadline and clears its
-// credential.
+// credential. Requests that it rejects have outcome NotRun.
 func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
-	if err := f.await(ctx); err != nil {
+	if err := f.awaitConfig(ctx); err != nil {
 		return err
 	}
 	ws, ok := f.Snapshots.Snapshot().ByKeyHash[HashKey(r.Credential)]
@@ -53,7 +53,7 @@
 	r.Credential = ""
 	r.Workspace = ws.Name
 	r.Priority = min(r.Priority, ws.Priority)
-	f.limit(r)
+	f.setDeadline(r)
 	if !f.Timer.Now().Before(r.Deadline) {
 		return bramleytack.NewError(bramleytack.CodeTimeout, bramleytack.NotRun, "deadline has passed")
 	}
@@ -62,8 +62,9 @@
 	return next.Handle(ctx, r, w)
 }
 
-// await returns when the configuration is complete.
-func (f *Filter) await(ctx context.Context) error {
+// awaitConfig waits until the configuration is complete. After configWait it
+// returns an error with CodeStarting.
+func (f *Filter) awaitConfig(ctx context.Context) error {
 	if f.ConfigLoaded == nil {
 		return nil
 	}
@@ -72,35 +73,36 @@
 		return nil
 	default:
 	}
-	end := f.Timer.After(startWait)
-	defer end.Stop()
+	timeout := f.Timer.After(configWait)
+	defer timeout.Stop()
 	select {
 	case <-f.ConfigLoaded:
 		return nil
 	case <-ctx.Done():
-	case <-end.C():
+	case <-timeout.C():
 	}
-	return bramleytack.NewError(bramleytack.CodeStarting, bramleytack.NotRun, "configuration is loading").WithRetryAfter(startRetry)
+	return bramleytack.NewError(bramleytack.CodeStarting, bramleytack.NotRun, "configuration is loading").WithRetryAfter(configRetryAfter)
 }
 
-// limit sets the deadline within its bounds.
-func (f *Filter) limit(r *bramleytack.Request) {
-	timeout, longest := f.Timeout, f.MaxTimeout
+// setDeadline sets a default deadline and limits one that the caller set.
+func (f *Filter) setDeadline(r *bramleytack.Request) {
+	timeout, maxTimeout := f.Timeout, f.MaxTimeout
 	if timeout <= 0 {
 		timeout = DefaultTimeout
 	}
-	if longest <= 0 {
-		longest = DefaultMaxTimeout
+	if maxTimeout <= 0 {
+		maxTimeout = DefaultMaxTimeout
 	}
 	if r.Deadline.IsZero() {
-		r.Deadline = r.Received.Add(min(timeout, longest))
+		r.Deadline = r.Received.Add(min(timeout, maxTimeout))
 	}
-	if last := r.Received.Add(longest); r.Deadline.After(last) {
-		r.Deadline = last
+	if latest := r.Received.Add(maxTimeout); r.Deadline.After(latest) {
+		r.Deadline = latest
 	}
 }
 
-// HashKey returns the hash under which a workspace's record holds an API key.
+// HashKey returns the hexadecimal SHA-256 hash of an API key, as workspace
+// records hold it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/btidentity/filter_test.go
+++ b/btidentity/filter_test.go
@@ -12,29 +12,31 @@
 	"bramleytack/bttimer"
 )
 
-type fixed struct{ s *bramleytack.Snapshot }
+// fixedSnapshot is a Snapshots whose snapshot never changes.
+type fixedSnapshot struct{ snapshot *bramleytack.Snapshot }
 
-func (f fixed) Snapshot() *bramleytack.Snapshot { return f.s }
+func (f fixedSnapshot) Snapshot() *bramleytack.Snapshot { return f.snapshot }
 
-// Guards against a caller that is refused for good by a part of the
-// configuration, that passes without a key, or that raises its own limits.
+// Guards against a caller that is rejected permanently while the configuration
+// loads, that is accepted without a valid key, or that exceeds the limits of its
+// workspace.
 func TestFilter(t *testing.T) {
 	ws := &bramleytack.Workspace{Name: "w", Priority: bramleytack.Standard}
-	s := fixed{&bramleytack.Snapshot{ByKeyHash: map[string]*bramleytack.Workspace{HashKey("key"): ws}}}
+	snapshots := fixedSnapshot{&bramleytack.Snapshot{ByKeyHash: map[string]*bramleytack.Workspace{HashKey("key"): ws}}}
 	cases := []struct {
-		name     string
-		key      string
-		starting bool
-		priority bramleytack.Priority
-		timeout  time.Duration
-		code     bramleytack.Code
-		want     bramleytack.Priority
-		lasts    time.Duration
+		name         string
+		key          string
+		starting     bool
+		priority     bramleytack.Priority
+		timeout      time.Duration
+		code         bramleytack.Code
+		wantPriority bramleytack.Priority
+		timeLimit    time.Duration
 	}{
-		{name: "valid", key: "key", priority: bramleytack.Batch, want: bramleytack.Batch, lasts: DefaultTimeout},
-		{name: "priority above the workspace's", key: "key", priority: bramleytack.Interactive, want: bramleytack.Standard, lasts: DefaultTimeout},
-		{name: "own timeout", key: "key", timeout: time.Second, lasts: time.Second},
-		{name: "timeout above the limit", key: "key", timeout: 100 * time.Hour, lasts: DefaultMaxTimeout},
+		{name: "valid", key: "key", priority: bramleytack.Batch, wantPriority: bramleytack.Batch, timeLimit: DefaultTimeout},
+		{name: "priority above the workspace's", key: "key", priority: bramleytack.Interactive, wantPriority: bramleytack.Standard, timeLimit: DefaultTimeout},
+		{name: "own timeout", key: "key", timeout: time.Second, timeLimit: time.Second},
+		{name: "timeout above the limit", key: "key", timeout: 100 * time.Hour, timeLimit: DefaultMaxTimeout},
 		{name: "past deadline", key: "key", timeout: -time.Second, code: bramleytack.CodeTimeout},
 		{name: "wrong key", key: "kez", code: bramleytack.CodeUnauthenticated},
 		{name: "no key", code: bramleytack.CodeUnauthenticated},
@@ -45,20 +47,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				timers := bttimer.New(1)
 				defer timers.Close()
-				complete := make(chan struct{})
+				configLoaded := make(chan struct{})
 				if !c.starting {
-					close(complete)
+					close(configLoaded)
 				}
-				f := &Filter{Snapshots: s, Timer: timers, ConfigLoaded: complete}
+				f := &Filter{Snapshots: snapshots, Timer: timers, ConfigLoaded: configLoaded}
 				r := &bramleytack.Request{Credential: c.key, Priority: c.priority, Received: timers.Now()}
 				if c.timeout != 0 {
 					r.Deadline = timers.Now().Add(c.timeout)
 				}
 				next := bramleytack.HandlerFunc(func(ctx context.Context, r *bramleytack.Request, _ bramleytack.ResponseWriter) error {
-					end, _ := ctx.Deadline()
-					assert.Equal(t, end.Sub(r.Received), c.lasts)
+					deadline, _ := ctx.Deadline()
+					assert.Equal(t, deadline.Sub(r.Received), c.timeLimit)
 					assert.Equal(t, r.Workspace, ws.Name)
-					assert.Equal(t, r.Priority, c.want)
+					assert.Equal(t, r.Priority, c.wantPriority)
 					assert.Equal(t, r.Credential, "")
 					return nil
 				})
@@ -74,19 +76,19 @@
 	}
 }
 
-// Guards against a restarted daemon that refuses the callers whose entry list
-// is from before its restart.
+// Guards against a restarted daemon that rejects callers who cached the entry
+// list before the restart, although its configuration loads within configWait.
 func TestRequestsWaitForTheConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timers := bttimer.New(1)
 		defer timers.Close()
-		complete := make(chan struct{})
+		configLoaded := make(chan struct{})
 		ws := &bramleytack.Workspace{Name: "w"}
-		s := fixed{&bramleytack.Snapshot{ByKeyHash: map[string]*bramleytack.Workspace{HashKey("key"): ws}}}
-		f := &Filter{Snapshots: s, Timer: timers, ConfigLoaded: complete}
+		snapshots := fixedSnapshot{&bramleytack.Snapshot{ByKeyHash: map[string]*bramleytack.Workspace{HashKey("key"): ws}}}
+		f := &Filter{Snapshots: snapshots, Timer: timers, ConfigLoaded: configLoaded}
 		go func() {
 			time.Sleep(time.Second)
-			close(complete)
+			close(configLoaded)
 		}()
 		r := &bramleytack.Request{Credential: "key", Received: timers.Now()}
 		ran := false
