--- a/btfront/decode.go
+++ b/btfront/decode.go
@@ -13,11 +13,10 @@
 	"bramleytack"
 )
 
-// maxKeyBytes bounds an idempotency key.
-const maxKeyBytes = 255
+const maxIdempotencyKeyBytes = 255
 
-// chatRequest is the part of a chat/completions request that is used. Other
-// fields are ignored, as client libraries send many.
+// chatRequest holds the supported fields of a chat/completions request. Others
+// are ignored, because client libraries send many more.
 type chatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -57,24 +56,24 @@
 	return nil
 }
 
-// decodeChat reads a chat/completions body.
+// decodeChat decodes and validates a chat/completions body.
 func decodeChat(body []byte) (*chatRequest, error) {
 	var c chatRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, bad("body is no valid chat request: %v", err)
+		return nil, badRequest("body is not a valid chat request: %v", err)
 	}
 	switch {
 	case c.Model == "":
-		return nil, bad("model is missing")
+		return nil, badRequest("model is missing")
 	case len(c.Messages) == 0:
-		return nil, bad("messages are missing")
+		return nil, badRequest("messages are missing")
 	case c.MaxTokens < 0 || c.MaxCompletionTokens < 0:
-		return nil, bad("max_tokens must not be negative")
+		return nil, badRequest("max_tokens must not be negative")
 	}
 	return &c, nil
 }
 
-// prompt joins the messages.
+// prompt joins the messages into lines of the form "role: content".
 func (c *chatRequest) prompt() string {
 	var b strings.Builder
 	for _, m := range c.Messages {
@@ -93,7 +92,7 @@
 	return c.MaxTokens
 }
 
-// readBody reads a body within its limits of size and time.
+// readBody reads a request's body within the limits of size and time.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	limit := f.MaxBody
 	if limit <= 0 {
@@ -105,13 +104,13 @@
 		timeout = DefaultBodyTimeout
 	}
 	if err := control.SetReadDeadline(f.Timer.Now().Add(timeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return nil, bad("connection failed")
+		return nil, badRequest("cannot set the read deadline of the connection")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
-		// A read deadline that stays set would cancel the request's context
-		// later. After a failure it stays, since net/http reads the rest of the
-		// body before it sends the answer and would wait for a slow sender.
+		// Clear the deadline: when it passes, net/http cancels the request's
+		// context. After an error it stays set, because net/http reads the rest of
+		// the body before it sends the response and would wait for a slow caller.
 		_ = control.SetReadDeadline(time.Time{})
 	}
 	var tooLarge *http.MaxBytesError
@@ -119,35 +118,37 @@
 	case errors.As(err, &tooLarge):
 		return nil, bramleytack.NewError(bramleytack.CodeBodyTooLarge, bramleytack.NotRun, "body is over the limit of %d bytes", limit)
 	case err != nil:
-		return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "body did not arrive").WithCause(err)
+		return nil, bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "body was not received in full").WithCause(err)
 	}
 	return body, nil
 }
 
-// options reads the headers that all kinds of requests share.
-func options(r *http.Request, req *bramleytack.Request) error {
+// decodeOptions sets the priority, deadline and idempotency key of req from
+// optional headers.
+func decodeOptions(r *http.Request, req *bramleytack.Request) error {
 	if s := r.Header.Get(HeaderPriority); s != "" {
 		p, ok := bramleytack.ParsePriority(s)
 		if !ok {
-			return bad("%s must be batch, standard or interactive", HeaderPriority)
+			return badRequest("%s must be batch, standard or interactive", HeaderPriority)
 		}
 		req.Priority = p
 	}
 	if s := r.Header.Get(HeaderTimeout); s != "" {
 		d, err := time.ParseDuration(s)
 		if err != nil || d <= 0 {
-			return bad("%s must be a positive duration such as 30s", HeaderTimeout)
+			return badRequest("%s must be a positive duration such as 30s", HeaderTimeout)
 		}
 		req.Deadline = req.Received.Add(d)
 	}
 	req.IdempotencyKey = r.Header.Get(HeaderIdempotencyKey)
-	if len(req.IdempotencyKey) > maxKeyBytes {
-		return bad("%s is over the limit of %d bytes", HeaderIdempotencyKey, maxKeyBytes)
+	if len(req.IdempotencyKey) > maxIdempotencyKeyBytes {
+		return badRequest("%s is over the limit of %d bytes", HeaderIdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	return nil
 }
 
-// resumeWindow returns how long a generation outlives its caller's connection.
+// resumeWindow returns how long a generation continues after its caller
+// disconnects.
 func resumeWindow(r *http.Request) (time.Duration, error) {
 	s := r.Header.Get(HeaderResumeWindow)
 	if s == "" {
@@ -155,39 +156,41 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil || d < 0 {
-		return 0, bad("%s must be a duration such as 10s", HeaderResumeWindow)
+		return 0, badRequest("%s must be a duration such as 10s", HeaderResumeWindow)
 	}
 	return min(d, MaxResumeWindow), nil
 }
 
-// startIndex returns the token index at which a resumption starts. A client
-// library that reconnects by itself sends the last id that it saw.
+// startIndex returns the token index at which a resumed stream starts: the query
+// parameter "from", or the index after Last-Event-ID, the header that client
+// libraries send when they reconnect automatically, or 0.
 func startIndex(r *http.Request) (int, error) {
 	if s := r.URL.Query().Get("from"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 0 {
-			return 0, bad("from must be a token index")
+			return 0, badRequest("from must be a token index")
 		}
 		return n, nil
 	}
 	if s := r.Header.Get("Last-Event-ID"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 0 {
-			return 0, bad("Last-Event-ID must be a token index")
+			return 0, badRequest("Last-Event-ID must be a token index")
 		}
 		return n + 1, nil
 	}
 	return 0, nil
 }
 
-func bearer(h string) string {
-	scheme, key, ok := strings.Cut(h, " ")
+// bearerToken returns the token of an Authorization header, or an empty string.
+func bearerToken(h string) string {
+	scheme, token, ok := strings.Cut(h, " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
 		return ""
 	}
-	return strings.TrimSpace(key)
+	return strings.TrimSpace(token)
 }
 
-func bad(format string, args ...any) *bramleytack.Error {
+func badRequest(format string, args ...any) *bramleytack.Error {
 	return bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, format, args...)
 }
--- a/btfront/doc.go
+++ b/btfront/doc.go
@@ -1,28 +1,30 @@
-// Package btfront is the HTTP surface for callers.
+// Package btfront implements the HTTP API for callers.
 //
-// Model calls have the chat/completions shape that client libraries speak, as
-// JSON or as server-sent events. Plain service calls have one path per service.
-// The entry list tells callers which addresses to use and for how long.
+// Generations use the chat/completions format that client libraries support,
+// with the response as JSON or as server-sent events. Calls of plain services
+// have one path per service. The entry list gives callers the addresses of entry
+// daemons and how long the list is valid.
 //
 // # Streams
 //
-// The answer's header Bramleytack-Generation-Token names the generation. Each
-// event's id is the index of its token; a caller that lost its connection
-// resumes at any entry with the token and the next index. A stream ends with
-// "data: [DONE]" or with an "error" event; one that ends otherwise is
-// incomplete. A comment line is sent on a stream that has been idle for
-// HeartbeatPeriod, so that callers can tell a slow generation from a lost
-// connection.
+// The response header Bramleytack-Generation-Token identifies the generation.
+// Each event's id is the index of its token. A caller whose connection broke
+// resumes at any entry daemon with the generation token and the next index. A
+// stream ends with "data: [DONE]" or with an "error" event; one that ends
+// otherwise is incomplete. After its first token, an idle stream gets a comment
+// line within HeartbeatPeriod, so that callers can distinguish a slow generation
+// from a lost connection.
 //
-// By default a caller that disconnects cancels its generation. A caller that
-// wants to resume asks for a window with the header Bramleytack-Resume-Window.
+// By default a generation is canceled when its caller disconnects. The request
+// header Bramleytack-Resume-Window sets how long the generation continues
+// instead, up to MaxResumeWindow.
 //
 // # Limits
 //
 // Bodies and headers are bounded in size, and a body must arrive within
-// DefaultBodyTimeout. A caller that does not read blocks its relay and is
-// disconnected after WriteTimeout, so each stream holds a bounded amount of
-// memory.
+// DefaultBodyTimeout. Tokens are not queued: a caller that does not read
+// blocks the writes of its stream and is disconnected after at most
+// WriteTimeout, so that each stream uses a bounded amount of memory.
 //
 // # Usage
 //
--- a/btfront/error.go
+++ b/btfront/error.go
@@ -9,11 +9,11 @@
 	"bramleytack"
 )
 
-// ErrorContentType is the content type of an error of the system itself, in contrast
-// to an error status that a service answered with.
+// ErrorContentType is the content type of errors that the system itself reports.
+// It distinguishes them from error responses of a service.
 const ErrorContentType = "application/vnd.bramleytack.error+json"
 
-// failureBody is the body of each error.
+// failureBody is the JSON of an error response and of an "error" event.
 type failureBody struct {
 	Error failureDetail `json:"error"`
 }
@@ -32,7 +32,7 @@
 	return body
 }
 
-// fail sends an error as the whole answer.
+// fail sends an error as the whole response.
 func (f *Front) fail(w http.ResponseWriter, req *bramleytack.Request, err error) {
 	e := bramleytack.AsError(err)
 	f.report(req, e)
--- a/btfront/event.go
+++ b/btfront/event.go
@@ -10,36 +10,40 @@
 	"bramleytack"
 )
 
-// eventReply sends a generation as server-sent events.
-type eventReply struct {
+// eventWriter sends a generation's response as server-sent events. Its methods
+// may be called concurrently.
+type eventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	req     *bramleytack.Request
 	timer   bramleytack.Timer
-	// kept says that the generation goes on without the caller, who may have
-	// resumed it at another entry.
-	kept bool
-
-	// mu orders the relay's writes and the heartbeats.
-	mu    sync.Mutex
-	open  bool
-	ended bool
-	// lost says that the caller of a kept generation is gone.
-	lost   bool
+	// resumable is set if the generation continues after the caller disconnects.
+	// The caller may resume it at another entry daemon.
+	resumable bool
+
+	// mu serializes tokens and heartbeats and guards the fields below.
+	mu         sync.Mutex
+	headerSent bool
+	ended      bool
+	// disconnected is set when a write of a resumable generation fails. Later
+	// writes are discarded.
+	disconnected bool
+	// prefix is the JSON that starts each chunk.
 	prefix []byte
-	buf    []byte
-	// deadline is the write deadline that is set on the connection.
-	deadline time.Time
-	lastSent time.Time
+	// buf is reused for each event.
+	buf []byte
+	// writeDeadline is the deadline that is set on the connection.
+	writeDeadline time.Time
+	lastSent      time.Time
 }
 
-func newEventReply(w http.ResponseWriter, req *bramleytack.Request, timer bramleytack.Timer, kept bool) *eventReply {
-	return &eventReply{w: w, control: http.NewResponseController(w), req: req, timer: timer, kept: kept}
+func newEventWriter(w http.ResponseWriter, req *bramleytack.Request, timer bramleytack.Timer, resumable bool) *eventWriter {
+	return &eventWriter{w: w, control: http.NewResponseController(w), req: req, timer: timer, resumable: resumable}
 }
 
-// Open implements bramleytack.ResponseWriter. The header goes out with the first token:
-// until then another attempt may take the place of this one.
-func (e *eventReply) Open(o bramleytack.Opening) error {
+// Open implements bramleytack.ResponseWriter. It does not send the header: until
+// the first token is sent, another attempt can replace this one.
+func (e *eventWriter) Open(o bramleytack.Opening) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	h := e.w.Header()
@@ -52,7 +56,7 @@
 }
 
 // Token implements bramleytack.ResponseWriter.
-func (e *eventReply) Token(t bramleytack.Token) error {
+func (e *eventWriter) Token(t bramleytack.Token) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	b := append(e.buf[:0], "id: "...)
@@ -68,14 +72,14 @@
 }
 
 // Close implements bramleytack.ResponseWriter.
-func (e *eventReply) Close(done bramleytack.Completion) error {
+func (e *eventWriter) Close(done bramleytack.Completion) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	reason, err := json.Marshal(done.FinishReason)
 	if err != nil {
 		return err
 	}
-	total, err := json.Marshal(usage(done))
+	usageJSON, err := json.Marshal(usage(done))
 	if err != nil {
 		return err
 	}
@@ -84,17 +88,17 @@
 	b = append(b, `{},"finish_reason":`...)
 	b = append(b, reason...)
 	b = append(b, `}],"usage":`...)
-	b = append(b, total...)
+	b = append(b, usageJSON...)
 	b = append(b, "}\n\ndata: [DONE]\n\n"...)
 	e.ended = true
 	return e.send(b)
 }
 
 // Respond implements bramleytack.ResponseWriter.
-func (e *eventReply) Respond(*bramleytack.Response) error { return errWrongAnswer }
+func (e *eventWriter) Respond(*bramleytack.Response) error { return errUnexpectedResponse }
 
 // fail ends a stream with an error event.
-func (e *eventReply) fail(err *bramleytack.Error) {
+func (e *eventWriter) fail(err *bramleytack.Error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended {
@@ -107,47 +111,50 @@
 	_ = e.send(b)
 }
 
-// heartbeat sends a comment if the stream was idle since a time.
-// A stream that is being written to needs none, and waiting for its caller
-// would hold up the heartbeats of all other streams.
-func (e *eventReply) heartbeat(since time.Time) {
+// heartbeat sends a comment if the last write was not after since. It skips a stream
+// that is being written to: waiting for a blocked write would delay the
+// heartbeats of all other streams.
+func (e *eventWriter) heartbeat(since time.Time) {
 	if !e.mu.TryLock() {
 		return
 	}
 	defer e.mu.Unlock()
-	if !e.open || e.ended || e.lastSent.After(since) {
+	if !e.headerSent || e.ended || e.lastSent.After(since) {
 		return
 	}
 	_ = e.send([]byte(": heartbeat\n\n"))
 }
 
-// started says whether a part of the answer was sent.
-func (e *eventReply) started() bool {
+// started reports whether the header was sent. A later error must be sent as an
+// event.
+func (e *eventWriter) started() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.open
+	return e.headerSent
 }
 
-// send writes and flushes. The caller holds mu.
-func (e *eventReply) send(b []byte) error {
-	if e.lost {
+// send writes and flushes b. mu must be held.
+func (e *eventWriter) send(b []byte) error {
+	if e.disconnected {
 		return nil
 	}
 	now := e.timer.Now()
-	// Setting the deadline on each token would cost more than the write.
-	if e.deadline.Sub(now) < WriteTimeout/2 {
-		e.deadline = now.Add(WriteTimeout)
-		_ = e.control.SetWriteDeadline(e.deadline)
+	// Renew the deadline only after half of it: setting it for each token would
+	// cost more than the write.
+	if e.writeDeadline.Sub(now) < WriteTimeout/2 {
+		e.writeDeadline = now.Add(WriteTimeout)
+		_ = e.control.SetWriteDeadline(e.writeDeadline)
 	}
-	e.open = true
+	e.headerSent = true
 	e.lastSent = now
 	_, err := e.w.Write(b)
 	if err == nil {
 		err = e.control.Flush()
 	}
-	if err != nil && e.kept {
-		// An error would cancel the generation before its window ends.
-		e.lost = true
+	if err != nil && e.resumable {
+		// Returning the error would cancel the generation before its resume window
+		// ends.
+		e.disconnected = true
 		return nil
 	}
 	if err != nil {
@@ -156,8 +163,8 @@
 	return nil
 }
 
-// chunkPrefix returns the part that all chunks of a stream share.
-func (e *eventReply) chunkPrefix(o bramleytack.Opening) []byte {
+// chunkPrefix returns the start of each chunk's JSON, up to the delta.
+func (e *eventWriter) chunkPrefix(o bramleytack.Opening) []byte {
 	model, _ := json.Marshal(o.Model)
 	b := []byte(`{"id":"chatcmpl-` + string(e.req.ID) + `","object":"chat.completion.chunk","created":`)
 	b = strconv.AppendInt(b, e.req.Received.Unix(), 10)
@@ -166,8 +173,8 @@
 	return append(b, `,"choices":[{"index":0,"delta":`...)
 }
 
-// appendJSON appends a string as JSON. Text without special characters, which
-// most tokens are, needs no encoder.
+// appendJSON appends text as a JSON string. Most tokens are printable ASCII
+// without quotes and backslashes, and need no encoder.
 func appendJSON(b []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
@@ -182,5 +189,5 @@
 }
 
 func canceled(err error) error {
-	return bramleytack.NewError(bramleytack.CodeCanceled, bramleytack.Ran, "caller is gone").WithCause(err)
+	return bramleytack.NewError(bramleytack.CodeCanceled, bramleytack.Ran, "caller disconnected").WithCause(err)
 }
--- a/btfront/front.go
+++ b/btfront/front.go
@@ -17,24 +17,29 @@
 	DefaultMaxBody = 1 << 20
 	// DefaultMaxHeader is the largest request header in bytes.
 	DefaultMaxHeader = 16 << 10
-	// serverMaxHeader is where net/http itself cuts a header off. It is larger
-	// than DefaultMaxHeader, so that moderate excess gets a typed error.
+	// serverMaxHeader is the header limit of net/http, which rejects without a
+	// typed error. It is larger than DefaultMaxHeader, so that headers moderately
+	// over DefaultMaxHeader get a typed error.
 	serverMaxHeader = 64 << 10
-	// ReadHeaderTimeout bounds the receipt of a header, DefaultBodyTimeout that of
-	// a body.
+	// ReadHeaderTimeout limits the time to receive a header, DefaultBodyTimeout
+	// the time to receive a body.
 	ReadHeaderTimeout  = 5 * time.Second
 	DefaultBodyTimeout = 10 * time.Second
-	// WriteTimeout is how long a caller may leave a write blocked.
+	// WriteTimeout limits how long a write to an event stream may block. The
+	// deadline is not renewed on each write, so a write may fail after half of
+	// this time.
 	WriteTimeout = 30 * time.Second
-	// IdleTimeout closes connections between requests.
+	// IdleTimeout is how long a connection stays open without a request.
 	IdleTimeout = 2 * time.Minute
-	// HeartbeatPeriod is the longest silence of a healthy stream.
+	// HeartbeatPeriod is the longest time without data on a healthy stream after
+	// its first token.
 	HeartbeatPeriod = 5 * time.Second
-	// MaxResumeWindow bounds Bramleytack-Resume-Window.
+	// MaxResumeWindow is the longest resume window. Longer ones are shortened to
+	// it.
 	MaxResumeWindow = time.Minute
 )
 
-// Headers of requests and answers.
+// HTTP headers of requests and responses.
 const (
 	HeaderGenerationToken = "Bramleytack-Generation-Token"
 	HeaderPriority        = "Bramleytack-Priority"
@@ -45,13 +50,14 @@
 	HeaderIdempotencyKey  = "Idempotency-Key"
 )
 
-// EntryLister tells which entry addresses callers should use.
+// EntryLister provides the addresses of the daemons that callers should use.
 type EntryLister interface {
-	// Entries returns the addresses and how long callers may keep them.
+	// Entries returns the addresses and how long callers may cache them.
 	Entries() ([]netip.AddrPort, time.Duration)
 }
 
-// Front serves callers. Path and Timer are required.
+// Front serves the HTTP API. RequestHandler and Timer are required. Without
+// Entries, the entry list is empty.
 type Front struct {
 	RequestHandler bramleytack.Handler
 	Timer          bramleytack.Timer
@@ -60,7 +66,8 @@
 	MaxBody     int64
 	MaxHeader   int
 	BodyTimeout time.Duration
-	// OnError is called with each error that a caller was sent. It may be nil.
+	// OnError is called with each request's error before the error is sent to the
+	// caller. It may be called concurrently, and may be nil.
 	OnError func(*bramleytack.Request, *bramleytack.Error)
 
 	streams streamSet
@@ -74,11 +81,12 @@
 	mux.HandleFunc("DELETE /v1/generations/{token}", f.cancel)
 	mux.HandleFunc("/v1/services/{service}/{path...}", f.call)
 	mux.HandleFunc("GET /v1/entries", f.entries)
-	mux.HandleFunc("/", f.unknown)
+	mux.HandleFunc("/", f.notFound)
 	return f.limitHeader(mux)
 }
 
-// Server returns an HTTP server with the front's limits.
+// Server returns an HTTP server for Handler with limits on the receipt of
+// headers and on idle connections.
 func (f *Front) Server() *http.Server {
 	return &http.Server{
 		Handler:           f.Handler(),
@@ -88,7 +96,7 @@
 	}
 }
 
-// Run sends heartbeats on idle streams until the context ends.
+// Run sends heartbeats on idle streams until the context is done.
 func (f *Front) Run(ctx context.Context) {
 	f.streams.run(ctx, f.Timer)
 }
@@ -96,11 +104,11 @@
 // OpenStreams returns the number of open event streams.
 func (f *Front) OpenStreams() int { return f.streams.len() }
 
-func (f *Front) unknown(w http.ResponseWriter, r *http.Request) {
-	f.fail(w, f.request(r, bramleytack.Call), bramleytack.NewError(bramleytack.CodeNotFound, bramleytack.NotRun, "no such path"))
+func (f *Front) notFound(w http.ResponseWriter, r *http.Request) {
+	f.fail(w, f.newRequest(r, bramleytack.Call), bramleytack.NewError(bramleytack.CodeNotFound, bramleytack.NotRun, "path does not exist"))
 }
 
-// limitHeader refuses headers over the limit with a typed error.
+// limitHeader rejects requests whose header is over the limit.
 func (f *Front) limitHeader(next http.Handler) http.Handler {
 	limit := f.MaxHeader
 	if limit <= 0 {
@@ -108,7 +116,7 @@
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n := headerBytes(r); n > limit {
-			f.fail(w, f.request(r, bramleytack.Call),
+			f.fail(w, f.newRequest(r, bramleytack.Call),
 				bramleytack.NewError(bramleytack.CodeBadRequest, bramleytack.NotRun, "header of %d bytes is over the limit of %d", n, limit))
 			return
 		}
@@ -126,13 +134,13 @@
 	return n
 }
 
-// request returns a Request with what all kinds share.
-func (f *Front) request(r *http.Request, kind bramleytack.Kind) *bramleytack.Request {
+// newRequest returns a Request with the fields that every kind of request sets.
+func (f *Front) newRequest(r *http.Request, kind bramleytack.Kind) *bramleytack.Request {
 	return &bramleytack.Request{
 		ID:         newRequestID(),
 		Kind:       kind,
 		Received:   f.Timer.Now(),
-		Credential: bearer(r.Header.Get("Authorization")),
+		Credential: bearerToken(r.Header.Get("Authorization")),
 		Priority:   bramleytack.Interactive,
 	}
 }
--- a/btfront/front_test.go
+++ b/btfront/front_test.go
@@ -20,11 +20,11 @@
 	"bramleytack/bttimer"
 )
 
-// script is the request path of a test.
-type script func(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error
+// testHandler is a RequestHandler whose behavior a test defines.
+type testHandler func(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error
 
-func (s script) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
-	return s(ctx, r, w)
+func (h testHandler) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
+	return h(ctx, r, w)
 }
 
 const chatBody = `{"model":"m","messages":[{"role":"user","content":"hi"}]%s}`
@@ -32,8 +32,8 @@
 // Guards against bad input that reaches an upstream, gets an untyped error or
 // costs more memory than its limit.
 func TestBadInput(t *testing.T) {
-	never := script(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error {
-		t.Error("bad input reached the request path")
+	unreachable := testHandler(func(context.Context, *bramleytack.Request, bramleytack.ResponseWriter) error {
+		t.Error("bad input reached the request handler")
 		return nil
 	})
 	cases := []struct {
@@ -51,14 +51,14 @@
 		{name: "huge header", header: [2]string{"X-Long", strings.Repeat("x", DefaultMaxHeader)}, status: 400, code: bramleytack.CodeBadRequest},
 		{name: "unknown priority", body: fmt.Sprintf(chatBody, ""), header: [2]string{HeaderPriority, "highest"}, status: 400, code: bramleytack.CodeBadRequest},
 		{name: "bad timeout", body: fmt.Sprintf(chatBody, ""), header: [2]string{HeaderTimeout, "-1s"}, status: 400, code: bramleytack.CodeBadRequest},
-		{name: "long idempotency key", path: "/v1/services/orders/x", header: [2]string{HeaderIdempotencyKey, strings.Repeat("k", maxKeyBytes+1)}, status: 400, code: bramleytack.CodeBadRequest},
+		{name: "long idempotency key", path: "/v1/services/orders/x", header: [2]string{HeaderIdempotencyKey, strings.Repeat("k", maxIdempotencyKeyBytes+1)}, status: 400, code: bramleytack.CodeBadRequest},
 		{name: "path out of the service", path: "/v1/services/orders/a/%2e%2e/%2e%2e/x", status: 400, code: bramleytack.CodeBadRequest},
 		{name: "negative index", method: "GET", path: "/v1/generations/t?from=-1", status: 400, code: bramleytack.CodeBadRequest},
 		{name: "unknown path", path: "/v2/x", status: 404, code: bramleytack.CodeNotFound},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			base := serve(t, never)
+			base := serve(t, unreachable)
 			method, path := c.method, c.path
 			if method == "" {
 				method = "POST"
@@ -77,7 +77,7 @@
 		})
 	}
 	t.Run("body that never arrives", func(t *testing.T) {
-		base := serve(t, never)
+		base := serve(t, unreachable)
 		conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 		assert.NilError(t, err)
 		defer conn.Close()
@@ -89,9 +89,9 @@
 	})
 }
 
-// Guards against a stream that a common client of server-sent events can't read.
+// Guards against a stream that common clients of server-sent events can't read.
 func TestStream(t *testing.T) {
-	generate := script(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
+	generate := testHandler(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 		if err := w.Open(bramleytack.Opening{Model: r.Model, GenerationToken: "tok"}); err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 			}
 		}
 		if r.Model == "broken" {
-			return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "engine died")
+			return bramleytack.NewError(bramleytack.CodeIncomplete, bramleytack.Ran, "engine crashed")
 		}
 		return w.Close(bramleytack.Completion{FinishReason: "stop", PromptTokens: 2, Tokens: 3})
 	})
@@ -120,33 +120,33 @@
 		assert.Assert(t, strings.Contains(last, `"code":"incomplete"`), last)
 		assert.Assert(t, strings.Contains(last, `"outcome":"ran"`), last)
 	})
-	t.Run("whole answer as JSON", func(t *testing.T) {
+	t.Run("whole response as JSON", func(t *testing.T) {
 		resp := post(t, serve(t, generate), fmt.Sprintf(chatBody, ""))
-		var a chatAnswer
-		assert.NilError(t, json.NewDecoder(resp.Body).Decode(&a))
-		assert.Equal(t, a.Choices[0].Message.Content, "t0\nt1\nt2\n")
-		assert.Equal(t, a.Usage.TotalTokens, 5)
+		var response chatResponse
+		assert.NilError(t, json.NewDecoder(resp.Body).Decode(&response))
+		assert.Equal(t, response.Choices[0].Message.Content, "t0\nt1\nt2\n")
+		assert.Equal(t, response.Usage.TotalTokens, 5)
 	})
-	t.Run("incomplete answer as JSON is an error", func(t *testing.T) {
+	t.Run("incomplete response as JSON is an error", func(t *testing.T) {
 		resp := post(t, serve(t, generate), strings.Replace(fmt.Sprintf(chatBody, ""), `"m"`, `"broken"`, 1))
 		assertFailure(t, resp, 502, bramleytack.CodeIncomplete, bramleytack.Ran)
 	})
 }
 
-// Guards against a caller's disconnection that leaves its generation running,
-// and against a resume window that does not keep it.
+// Guards against a generation that continues after its caller disconnects
+// without a resume window, and against one that is canceled within its window.
 func TestDisconnect(t *testing.T) {
 	for _, c := range []struct {
 		name, window string
 		canceled     bool
 	}{{"without a window", "", true}, {"with a window", "1m", false}} {
 		t.Run(c.name, func(t *testing.T) {
-			begun, gone, state := make(chan struct{}), make(chan struct{}), make(chan error, 1)
-			base := serve(t, script(func(ctx context.Context, _ *bramleytack.Request, w bramleytack.ResponseWriter) error {
+			tokenSent, disconnected, ctxErr := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+			base := serve(t, testHandler(func(ctx context.Context, _ *bramleytack.Request, w bramleytack.ResponseWriter) error {
 				assert.Check(t, w.Open(bramleytack.Opening{}))
 				assert.Check(t, w.Token(bramleytack.Token{}))
-				close(begun)
-				<-gone
+				close(tokenSent)
+				<-disconnected
 				if c.canceled {
 					<-ctx.Done()
 				}
@@ -154,7 +154,7 @@
 				for i := 1; i < 50 && !c.canceled; i++ {
 					assert.Check(t, w.Token(bramleytack.Token{Index: i, Text: strings.Repeat("x", 64<<10)}))
 				}
-				state <- ctx.Err()
+				ctxErr <- ctx.Err()
 				return ctx.Err()
 			}))
 			ctx, cancel := context.WithCancel(t.Context())
@@ -163,18 +163,18 @@
 			req.Header.Set(HeaderResumeWindow, c.window)
 			resp, err := http.DefaultClient.Do(req)
 			assert.NilError(t, err)
-			<-begun
+			<-tokenSent
 			cancel()
 			_ = resp.Body.Close()
-			close(gone)
-			assert.Equal(t, <-state != nil, c.canceled)
+			close(disconnected)
+			assert.Equal(t, <-ctxErr != nil, c.canceled)
 		})
 	}
 }
 
-// Guards against an answer whose headers break the caller's connection.
+// Guards against a service's response headers that break the caller's connection.
 func TestCall(t *testing.T) {
-	base := serve(t, script(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
+	base := serve(t, testHandler(func(_ context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter) error {
 		assert.Check(t, r.Service == "orders" && r.Path == "a/b" && r.Query == "q=1" && r.IdempotencyKey == "k")
 		h := http.Header{"Content-Length": {"999"}, "Connection": {"close"}, "X-Kept": {"1"}}
 		return w.Respond(&bramleytack.Response{Status: 201, Header: h, Body: []byte("ok")})
@@ -217,15 +217,17 @@
 	})
 }
 
+// noEntries is an EntryLister without addresses.
 type noEntries struct{}
 
 func (noEntries) Entries() ([]netip.AddrPort, time.Duration) { return nil, time.Second }
 
-func serve(t *testing.T, path bramleytack.Handler) string {
+// serve starts a Front with the handler and returns its base URL.
+func serve(t *testing.T, handler bramleytack.Handler) string {
 	t.Helper()
 	timers := bttimer.New(1)
 	t.Cleanup(timers.Close)
-	f := &Front{RequestHandler: path, Timer: timers, Entries: noEntries{}, BodyTimeout: time.Second}
+	f := &Front{RequestHandler: handler, Timer: timers, Entries: noEntries{}, BodyTimeout: time.Second}
 	s := httptest.NewUnstartedServer(nil)
 	s.Config = f.Server()
 	s.Start()
@@ -268,13 +270,13 @@
 	return text, last
 }
 
-func assertFailure(t *testing.T, resp *http.Response, status int, code bramleytack.Code, o bramleytack.Outcome) {
+func assertFailure(t *testing.T, resp *http.Response, status int, code bramleytack.Code, outcome bramleytack.Outcome) {
 	t.Helper()
 	defer resp.Body.Close()
 	var body failureBody
 	assert.NilError(t, json.NewDecoder(resp.Body).Decode(&body))
 	assert.Equal(t, resp.StatusCode, status)
 	assert.Equal(t, body.Error.Code, code)
-	assert.Equal(t, body.Error.Outcome, o.String())
+	assert.Equal(t, body.Error.Outcome, outcome.String())
 	assert.Assert(t, body.Error.RequestID != "")
 }
--- a/btfront/route.go
+++ b/btfront/route.go
@@ -13,7 +13,7 @@
 )
 
 func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
-	req := f.request(r, bramleytack.Generate)
+	req := f.newRequest(r, bramleytack.Generate)
 	body, err := f.readBody(w, r)
 	if err != nil {
 		f.fail(w, req, err)
@@ -21,7 +21,7 @@
 	}
 	c, err := decodeChat(body)
 	if err == nil {
-		err = options(r, req)
+		err = decodeOptions(r, req)
 	}
 	if err != nil {
 		f.fail(w, req, err)
@@ -34,15 +34,15 @@
 		f.serveStream(w, r, req)
 		return
 	}
-	f.serve(r.Context(), w, req, &chatReply{w: w, req: req})
+	f.serve(r.Context(), w, req, &chatWriter{w: w, req: req})
 }
 
 func (f *Front) resume(w http.ResponseWriter, r *http.Request) {
-	req := f.request(r, bramleytack.Resume)
+	req := f.newRequest(r, bramleytack.Resume)
 	req.GenerationToken = r.PathValue("token")
 	from, err := startIndex(r)
 	if err == nil {
-		err = options(r, req)
+		err = decodeOptions(r, req)
 	}
 	if err != nil {
 		f.fail(w, req, err)
@@ -53,16 +53,16 @@
 }
 
 func (f *Front) cancel(w http.ResponseWriter, r *http.Request) {
-	req := f.request(r, bramleytack.Cancel)
+	req := f.newRequest(r, bramleytack.Cancel)
 	req.GenerationToken = r.PathValue("token")
-	f.serve(r.Context(), w, req, &cancelReply{w: w})
+	f.serve(r.Context(), w, req, &cancelWriter{w: w})
 }
 
 func (f *Front) call(w http.ResponseWriter, r *http.Request) {
-	req := f.request(r, bramleytack.Call)
+	req := f.newRequest(r, bramleytack.Call)
 	body, err := f.readBody(w, r)
 	if err == nil {
-		err = options(r, req)
+		err = decodeOptions(r, req)
 	}
 	if err == nil {
 		req.Path, err = servicePath(r.PathValue("path"))
@@ -76,57 +76,58 @@
 	req.Query = r.URL.RawQuery
 	req.Header = r.Header
 	req.Body = body
-	f.serve(r.Context(), w, req, &callReply{w: w, req: req})
+	f.serve(r.Context(), w, req, &callWriter{w: w, req: req})
 }
 
-// serve runs a request whose answer is sent at once.
-func (f *Front) serve(ctx context.Context, w http.ResponseWriter, req *bramleytack.Request, reply bramleytack.ResponseWriter) {
-	if err := f.RequestHandler.Handle(ctx, req, reply); err != nil {
+// serve handles a request whose response is not streamed.
+func (f *Front) serve(ctx context.Context, w http.ResponseWriter, req *bramleytack.Request, writer bramleytack.ResponseWriter) {
+	if err := f.RequestHandler.Handle(ctx, req, writer); err != nil {
 		f.fail(w, req, err)
 	}
 }
 
-// serveStream runs a request whose answer is an event stream.
+// serveStream handles a request whose response is an event stream.
 func (f *Front) serveStream(w http.ResponseWriter, r *http.Request, req *bramleytack.Request) {
 	window, err := resumeWindow(r)
 	if err != nil {
 		f.fail(w, req, err)
 		return
 	}
-	ctx, stop := detach(r.Context(), window)
+	ctx, stop := withResumeWindow(r.Context(), window)
 	defer stop()
-	reply := newEventReply(w, req, f.Timer, window > 0)
-	f.streams.add(reply)
-	err = f.RequestHandler.Handle(ctx, req, reply)
-	f.streams.remove(reply)
+	stream := newEventWriter(w, req, f.Timer, window > 0)
+	f.streams.add(stream)
+	err = f.RequestHandler.Handle(ctx, req, stream)
+	f.streams.remove(stream)
 	switch {
 	case err == nil:
-	case !reply.started():
+	case !stream.started():
 		f.fail(w, req, err)
 	default:
 		f.report(req, bramleytack.AsError(err))
-		reply.fail(bramleytack.AsError(err))
+		stream.fail(bramleytack.AsError(err))
 	}
 }
 
-// detach returns a context that ends a window after its parent.
-func detach(parent context.Context, window time.Duration) (context.Context, context.CancelFunc) {
+// withResumeWindow returns a context that is canceled when window has passed
+// since the parent was, or together with the parent if window is not positive.
+func withResumeWindow(parent context.Context, window time.Duration) (context.Context, context.CancelFunc) {
 	if window <= 0 {
 		return context.WithCancel(parent)
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
 	stop := context.AfterFunc(parent, func() {
-		// WithTimeout keeps the window without a goroutine of its own.
-		timeout, end := context.WithTimeout(ctx, window)
-		context.AfterFunc(timeout, func() { end(); cancel() })
+		// A timeout context needs no goroutine during the window.
+		windowCtx, cancelWindow := context.WithTimeout(ctx, window)
+		context.AfterFunc(windowCtx, func() { cancelWindow(); cancel() })
 	})
 	return ctx, func() { stop(); cancel() }
 }
 
-// entriesBody is the answer of the entry list.
+// entriesBody is the JSON of the entry list.
 type entriesBody struct {
 	Entries []netip.AddrPort `json:"entries"`
-	// ValidFor is a Go duration.
+	// ValidFor is a duration in the format of time.Duration.String.
 	ValidFor string `json:"validFor"`
 }
 
@@ -141,14 +142,15 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// servicePath returns a caller's path without anything that could leave the
-// service's root.
+// servicePath returns p, or an error if p contains anything by which it could
+// refer to a place outside the service's root.
 func servicePath(p string) (string, error) {
-	clean := strings.TrimPrefix(path.Clean("/"+p), "/")
-	if clean != strings.TrimSuffix(p, "/") || strings.ContainsFunc(p, isControl) {
-		return "", bad("path must be in its shortest form")
+	cleaned := strings.TrimPrefix(path.Clean("/"+p), "/")
+	if cleaned != strings.TrimSuffix(p, "/") || strings.ContainsFunc(p, isForbidden) {
+		return "", badRequest("path must not contain empty, \".\" or \"..\" segments, backslashes or control characters")
 	}
 	return p, nil
 }
 
-func isControl(r rune) bool { return r < ' ' || r == 0x7f || r == '\\' }
+// isForbidden reports whether r is a control character or a backslash.
+func isForbidden(r rune) bool { return r < ' ' || r == 0x7f || r == '\\' }
--- a/btfront/writer.go
+++ b/btfront/writer.go
@@ -10,18 +10,19 @@
 	"bramleytack"
 )
 
-// errWrongAnswer says that an upstream answered with the wrong shape.
-var errWrongAnswer = errors.New("btfront: answer has the wrong shape for the request")
+// errUnexpectedResponse is returned if the type of a response does not fit the
+// kind of request, such as a plain service's response to a generation.
+var errUnexpectedResponse = errors.New("btfront: response type does not fit the kind of request")
 
-// chatReply collects a generation into one JSON answer.
-type chatReply struct {
+// chatWriter collects a generation into one JSON response.
+type chatWriter struct {
 	w       http.ResponseWriter
 	req     *bramleytack.Request
 	opening bramleytack.Opening
 	text    strings.Builder
 }
 
-type chatAnswer struct {
+type chatResponse struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
 	Created int64        `json:"created"`
@@ -31,12 +32,12 @@
 }
 
 type chatChoice struct {
-	Index        int              `json:"index"`
-	Message      chatAnswerPart   `json:"message"`
-	FinishReason chatFinishReason `json:"finish_reason"`
+	Index        int                 `json:"index"`
+	Message      chatResponseMessage `json:"message"`
+	FinishReason chatFinishReason    `json:"finish_reason"`
 }
 
-type chatAnswerPart struct {
+type chatResponseMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -49,32 +50,33 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Open implements bramleytack.ResponseWriter. A later attempt starts over.
-func (c *chatReply) Open(o bramleytack.Opening) error {
+// Open implements bramleytack.ResponseWriter. It discards the tokens of an earlier
+// attempt.
+func (c *chatWriter) Open(o bramleytack.Opening) error {
 	c.opening = o
 	c.text.Reset()
 	return nil
 }
 
 // Token implements bramleytack.ResponseWriter.
-func (c *chatReply) Token(t bramleytack.Token) error {
+func (c *chatWriter) Token(t bramleytack.Token) error {
 	c.text.WriteString(t.Text)
 	return nil
 }
 
 // Close implements bramleytack.ResponseWriter.
-func (c *chatReply) Close(done bramleytack.Completion) error {
+func (c *chatWriter) Close(done bramleytack.Completion) error {
 	h := c.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderRequestID, string(c.req.ID))
 	h.Set(HeaderGenerationToken, c.opening.GenerationToken)
-	return json.NewEncoder(c.w).Encode(chatAnswer{
+	return json.NewEncoder(c.w).Encode(chatResponse{
 		ID:      "chatcmpl-" + string(c.req.ID),
 		Object:  "chat.completion",
 		Created: c.req.Received.Unix(),
 		Model:   c.opening.Model,
 		Choices: []chatChoice{{
-			Message:      chatAnswerPart{Role: "assistant", Content: c.text.String()},
+			Message:      chatResponseMessage{Role: "assistant", Content: c.text.String()},
 			FinishReason: chatFinishReason(done.FinishReason),
 		}},
 		Usage: usage(done),
@@ -82,7 +84,7 @@
 }
 
 // Respond implements bramleytack.ResponseWriter.
-func (c *chatReply) Respond(*bramleytack.Response) error { return errWrongAnswer }
+func (c *chatWriter) Respond(*bramleytack.Response) error { return errUnexpectedResponse }
 
 func usage(done bramleytack.Completion) chatUsage {
 	return chatUsage{
@@ -92,34 +94,35 @@
 	}
 }
 
-// callReply sends the answer of a plain service.
-type callReply struct {
+// callWriter sends the response of a plain service.
+type callWriter struct {
 	w   http.ResponseWriter
 	req *bramleytack.Request
 }
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// droppedHeaders are the response headers of a service that are not passed on:
+// those of its connection and those that the front or net/http sets.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Date", HeaderRequestID,
 }
 
 // Open implements bramleytack.ResponseWriter.
-func (c *callReply) Open(bramleytack.Opening) error { return errWrongAnswer }
+func (c *callWriter) Open(bramleytack.Opening) error { return errUnexpectedResponse }
 
 // Token implements bramleytack.ResponseWriter.
-func (c *callReply) Token(bramleytack.Token) error { return errWrongAnswer }
+func (c *callWriter) Token(bramleytack.Token) error { return errUnexpectedResponse }
 
 // Close implements bramleytack.ResponseWriter.
-func (c *callReply) Close(bramleytack.Completion) error { return errWrongAnswer }
+func (c *callWriter) Close(bramleytack.Completion) error { return errUnexpectedResponse }
 
 // Respond implements bramleytack.ResponseWriter.
-func (c *callReply) Respond(r *bramleytack.Response) error {
+func (c *callWriter) Respond(r *bramleytack.Response) error {
 	h := c.w.Header()
 	for name, values := range r.Header {
 		h[name] = values
 	}
-	for _, name := range hopHeaders {
+	for _, name := range droppedHeaders {
 		h.Del(name)
 	}
 	h.Set(HeaderRequestID, string(c.req.ID))
@@ -129,22 +132,22 @@
 	return err
 }
 
-// cancelReply answers a cancellation.
-type cancelReply struct {
+// cancelWriter responds to a Cancel request with status 204.
+type cancelWriter struct {
 	w http.ResponseWriter
 }
 
 // Open implements bramleytack.ResponseWriter.
-func (c *cancelReply) Open(bramleytack.Opening) error { return errWrongAnswer }
+func (c *cancelWriter) Open(bramleytack.Opening) error { return errUnexpectedResponse }
 
 // Token implements bramleytack.ResponseWriter.
-func (c *cancelReply) Token(bramleytack.Token) error { return errWrongAnswer }
+func (c *cancelWriter) Token(bramleytack.Token) error { return errUnexpectedResponse }
 
 // Close implements bramleytack.ResponseWriter.
-func (c *cancelReply) Close(bramleytack.Completion) error {
+func (c *cancelWriter) Close(bramleytack.Completion) error {
 	c.w.WriteHeader(http.StatusNoContent)
 	return nil
 }
 
 // Respond implements bramleytack.ResponseWriter.
-func (c *cancelReply) Respond(*bramleytack.Response) error { return errWrongAnswer }
+func (c *cancelWriter) Respond(*bramleytack.Response) error { return errUnexpectedResponse }
