--- a/btevent/doc.go
+++ b/btevent/doc.go
@@ -1,8 +1,8 @@
 // Package btevent is the catalogue of log events.
 //
 // Each event has a number that never changes its meaning, a level and a text.
-// docs/EVENTS.md lists them for operators; a test keeps both in step. Values
-// that vary go into fields, not into the text.
+// docs/EVENTS.md lists them for operators; a test compares both. Values that
+// vary go into fields, not into the text.
 //
 // # Usage
 //
--- a/btevent/event.go
+++ b/btevent/event.go
@@ -11,7 +11,7 @@
 
 // Event is one kind of log event.
 type Event struct {
-	// Number is fixed for the life of the project.
+	// Number never changes its meaning and is not reused.
 	Number int
 	Level  zerolog.Level
 	Text   string
@@ -27,22 +27,22 @@
 	HostLeaving             = Event{104, zerolog.WarnLevel, "platform lists this host as leaving"}
 	HostIsolated            = Event{105, zerolog.ErrorLevel, "host reaches neither the store nor a peer"}
 	HostRejoined            = Event{106, zerolog.InfoLevel, "host reaches the store or a peer again"}
-	ProcessSuspended        = Event{107, zerolog.WarnLevel, "process was suspended, what it believed is dropped"}
+	ProcessSuspended        = Event{107, zerolog.WarnLevel, "process was suspended, its cached state was discarded"}
 	SettingsReloaded        = Event{108, zerolog.InfoLevel, "settings were read again"}
 	DaemonRegistered        = Event{109, zerolog.InfoLevel, "daemon is registered in the store"}
 	ConfigApplied           = Event{200, zerolog.DebugLevel, "configuration is in force"}
-	RecordUndecodable       = Event{201, zerolog.WarnLevel, "record cannot be decoded, its last good form stays in force"}
+	RecordUndecodable       = Event{201, zerolog.WarnLevel, "record cannot be decoded, its last valid version stays in force"}
 	WatchReopened           = Event{202, zerolog.InfoLevel, "watch was opened again"}
 	StoreDown               = Event{203, zerolog.WarnLevel, "store is unavailable"}
 	RecordChanged           = Event{204, zerolog.InfoLevel, "operator changed a record"}
 	RecordConflict          = Event{205, zerolog.InfoLevel, "operator's change conflicts with another"}
-	ConfigInForce           = Event{206, zerolog.InfoLevel, "version of the configuration is in force"}
-	ConfigRegressed         = Event{207, zerolog.ErrorLevel, "older version of the configuration was refused"}
-	HistoryGone             = Event{208, zerolog.InfoLevel, "store has dropped its history, kind is listed again"}
-	StoreRecovered          = Event{209, zerolog.InfoLevel, "store answers again"}
+	ConfigInForce           = Event{206, zerolog.InfoLevel, "new version of the configuration is in force"}
+	ConfigRegressed         = Event{207, zerolog.ErrorLevel, "older version of the configuration was ignored"}
+	HistoryGone             = Event{208, zerolog.InfoLevel, "store has discarded its change history, kind is listed again"}
+	StoreRecovered          = Event{209, zerolog.InfoLevel, "store is available again"}
 	ReplicaPulled           = Event{210, zerolog.InfoLevel, "objects were pulled from a peer"}
-	WatchStarted            = Event{211, zerolog.InfoLevel, "daemon follows a kind in the store"}
-	WatchEnded              = Event{212, zerolog.InfoLevel, "daemon leaves a kind to others"}
+	WatchStarted            = Event{211, zerolog.InfoLevel, "daemon has started to watch a kind in the store"}
+	WatchEnded              = Event{212, zerolog.InfoLevel, "daemon has stopped watching a kind in the store"}
 	LeaseAcquired           = Event{300, zerolog.InfoLevel, "cell lease was acquired"}
 	LeaseLost               = Event{301, zerolog.WarnLevel, "cell lease was lost"}
 	ViewChanged             = Event{302, zerolog.InfoLevel, "view has changed"}
@@ -52,32 +52,32 @@
 	PeerPacketDropped       = Event{306, zerolog.WarnLevel, "message of a peer was dropped"}
 	UpstreamStarted         = Event{400, zerolog.InfoLevel, "upstream has a new instance"}
 	UpstreamFailed          = Event{401, zerolog.WarnLevel, "upstream does not answer"}
-	LeavingHostsChanged     = Event{403, zerolog.InfoLevel, "upstream is leaving"}
-	RegistrationUndecodable = Event{404, zerolog.WarnLevel, "registration names no upstream to use"}
+	LeavingHostsChanged     = Event{403, zerolog.InfoLevel, "list of leaving hosts has changed"}
+	RegistrationUndecodable = Event{404, zerolog.WarnLevel, "registration of an upstream cannot be decoded"}
 	UpstreamRegistered      = Event{405, zerolog.InfoLevel, "registration of an upstream has changed"}
-	UpstreamLeavingReported = Event{406, zerolog.InfoLevel, "upstream has told of its leaving"}
-	UpstreamRemoved         = Event{407, zerolog.InfoLevel, "registration of an upstream is gone"}
-	UpstreamEjected         = Event{408, zerolog.WarnLevel, "upstream gets no work because of failures"}
+	UpstreamLeavingReported = Event{406, zerolog.InfoLevel, "upstream has reported that it is leaving"}
+	UpstreamRemoved         = Event{407, zerolog.InfoLevel, "registration of an upstream was removed"}
+	UpstreamEjected         = Event{408, zerolog.WarnLevel, "upstream was ejected because of failures"}
 	RequestFailed           = Event{500, zerolog.WarnLevel, "request failed"}
-	RequestNotRun           = Event{501, zerolog.DebugLevel, "request was refused"}
-	RequestRejected         = Event{502, zerolog.InfoLevel, "request was answered by the daemon itself"}
+	RequestNotRun           = Event{501, zerolog.DebugLevel, "request was rejected before it ran"}
+	RequestRejected         = Event{502, zerolog.InfoLevel, "request was rejected"}
 	AttemptEnded            = Event{503, zerolog.InfoLevel, "attempt at an upstream has ended"}
 	AttemptStarted          = Event{504, zerolog.InfoLevel, "stream was sent to an upstream"}
-	RetryBudgetExhausted    = Event{505, zerolog.WarnLevel, "retry budget is spent"}
-	CallerDisconnected      = Event{506, zerolog.InfoLevel, "caller has left"}
-	RequestAnswered         = Event{507, zerolog.InfoLevel, "upstream's response was passed on"}
-	SegmentEnded            = Event{508, zerolog.InfoLevel, "part of a stream has ended"}
-	StreamMoved             = Event{509, zerolog.InfoLevel, "stream goes on at another upstream"}
-	StreamBroken            = Event{510, zerolog.WarnLevel, "stream was broken off"}
-	HandoverStarted         = Event{511, zerolog.InfoLevel, "another upstream was asked to go on with a stream"}
+	RetryBudgetExhausted    = Event{505, zerolog.WarnLevel, "retry budget is exhausted"}
+	CallerDisconnected      = Event{506, zerolog.InfoLevel, "caller has disconnected"}
+	RequestAnswered         = Event{507, zerolog.InfoLevel, "upstream's response was forwarded"}
+	SegmentEnded            = Event{508, zerolog.InfoLevel, "segment of a stream has ended"}
+	StreamMoved             = Event{509, zerolog.InfoLevel, "stream continues at another upstream"}
+	StreamBroken            = Event{510, zerolog.WarnLevel, "stream was aborted before its end"}
+	HandoverStarted         = Event{511, zerolog.InfoLevel, "another upstream was asked to continue a stream"}
 	MoveStarted             = Event{512, zerolog.InfoLevel, "move of a generation has started"}
 	MoveEnded               = Event{513, zerolog.InfoLevel, "move of a generation has ended"}
 	ClaimNotStored          = Event{600, zerolog.ErrorLevel, "outcome of a claim could not be stored"}
 	RequestSuspected        = Event{602, zerolog.WarnLevel, "request was running when an upstream crashed"}
 	RequestQuarantined      = Event{603, zerolog.ErrorLevel, "request is quarantined"}
-	CommandSent             = Event{700, zerolog.InfoLevel, "order was sent to an engine"}
-	CommandFailed           = Event{701, zerolog.WarnLevel, "order to an engine failed"}
-	CommandFenced           = Event{702, zerolog.WarnLevel, "engine refused an old fencing number"}
+	CommandSent             = Event{700, zerolog.InfoLevel, "command was sent to an engine"}
+	CommandFailed           = Event{701, zerolog.WarnLevel, "command to an engine failed"}
+	CommandFenced           = Event{702, zerolog.WarnLevel, "engine rejected a command with an old fencing token"}
 	CertificateError        = Event{800, zerolog.ErrorLevel, "certificate cannot be loaded"}
 )
 
@@ -146,17 +146,19 @@
 	}
 }
 
-// Logger writes events. The zero value discards them.
+// Logger writes events as JSON lines. The zero value and nil discard them.
 type Logger struct {
 	log zerolog.Logger
 }
 
-// New returns a logger that writes JSON lines.
+// New returns a logger that writes events of the level and above, each with the
+// time and the host's name.
 func New(w io.Writer, level zerolog.Level, host bramleytack.HostID) *Logger {
 	return &Logger{log: zerolog.New(w).Level(level).With().Timestamp().Str("host", string(host)).Logger()}
 }
 
-// Event starts a line. The caller adds fields and calls Send.
+// Event starts a line, which is written when the caller calls Send. It returns nil,
+// whose methods do nothing, for an event below the logger's level.
 func (l *Logger) Event(e Event) *zerolog.Event {
 	if l == nil {
 		return nil
--- a/btevent/event_test.go
+++ b/btevent/event_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a catalogue that differs from the code, and against numbers
-// that are used twice.
+// Guards against a documented catalogue that differs from the code, and against
+// numbers that are used twice.
 func TestCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	assert.NilError(t, err)
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards against events in the catalogue that nothing logs.
+// Guards against catalogued events that no code logs.
 func TestEventsAreUsed(t *testing.T) {
 	source, err := os.ReadFile("event.go")
 	assert.NilError(t, err)
