--- a/btdump/doc.go
+++ b/btdump/doc.go
@@ -1,7 +1,7 @@
-// Package btdump gives the state of a process on request.
+// Package btdump serves the internal state of a process as JSON.
 //
 // Parts register a function that returns a typed snapshot of their state. The
-// handler answers with all of them as one JSON object, or with the one that
+// handler responds with all of them as one JSON object, or only with the one that
 // the query parameter "part" names.
 //
 // # Usage
--- a/btdump/registry.go
+++ b/btdump/registry.go
@@ -7,16 +7,17 @@
 	"sync"
 )
 
-// Source returns the state of one part. It must be safe to call at any time.
+// Source returns the state of one part. It must be safe for concurrent use.
 type Source func() any
 
-// Registry holds the sources of a process. The zero value is empty.
+// Registry holds the sources of a process. The zero value is empty and ready for
+// use. It is safe for concurrent use.
 type Registry struct {
 	mu      sync.Mutex
 	sources map[string]Source
 }
 
-// Add registers a part. A later source of the same name replaces it.
+// Add registers the source of a part and replaces an earlier one.
 func (g *Registry) Add(part string, s Source) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -26,7 +27,8 @@
 	g.sources[part] = s
 }
 
-// State returns the state of all parts, or of the named one.
+// State returns the state of all parts by name if part is empty, otherwise only
+// that of the named part. It is empty for an unknown name.
 func (g *Registry) State(part string) map[string]any {
 	g.mu.Lock()
 	sources := maps.Clone(g.sources)
@@ -40,7 +42,7 @@
 	return state
 }
 
-// ServeHTTP answers with the state as JSON.
+// ServeHTTP responds with the state as JSON.
 func (g *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
--- a/btmetric/doc.go
+++ b/btmetric/doc.go
@@ -1,7 +1,7 @@
-// Package btmetric holds the metrics of a daemon for client_golang.
+// Package btmetric provides the Prometheus metrics of a daemon.
 //
-// Labels have few values: outcomes, codes, kinds and models, never request or
-// workspace names.
+// To limit the number of time series, labels have few values, such as outcomes,
+// codes, kinds and models, and never request or workspace names.
 //
 // # Usage
 //
--- a/btmetric/filter.go
+++ b/btmetric/filter.go
@@ -7,7 +7,8 @@
 	"bramleytack"
 )
 
-// Filter counts the requests that pass and times their tokens.
+// Filter counts requests by result and measures the time between their tokens.
+// Both fields are required.
 type Filter struct {
 	Metrics *Metrics
 	Timer   bramleytack.Timer
@@ -17,7 +18,7 @@
 func (f *Filter) Handle(ctx context.Context, r *bramleytack.Request, w bramleytack.ResponseWriter, next bramleytack.Handler) error {
 	f.Metrics.InFlight.Inc()
 	defer f.Metrics.InFlight.Dec()
-	err := next.Handle(ctx, r, &timedReply{ResponseWriter: w, filter: f, last: r.Received})
+	err := next.Handle(ctx, r, &timedWriter{ResponseWriter: w, filter: f, last: r.Received})
 	code, outcome := "ok", bramleytack.Ran
 	if err != nil {
 		e := bramleytack.AsError(err)
@@ -27,23 +28,23 @@
 	return err
 }
 
-// timedReply observes the time between tokens.
-type timedReply struct {
+// timedWriter observes the time to the first token and between tokens.
+type timedWriter struct {
 	bramleytack.ResponseWriter
-	filter *Filter
-	last   time.Time
-	begun  bool
+	filter  *Filter
+	last    time.Time
+	started bool
 }
 
 // Token implements bramleytack.ResponseWriter.
-func (t *timedReply) Token(tok bramleytack.Token) error {
+func (t *timedWriter) Token(tok bramleytack.Token) error {
 	now := t.filter.Timer.Now()
 	gap := now.Sub(t.last).Seconds()
 	t.last = now
-	if t.begun {
+	if t.started {
 		t.filter.Metrics.TokenGap.Observe(gap)
 	} else {
-		t.begun = true
+		t.started = true
 		t.filter.Metrics.FirstToken.Observe(gap)
 	}
 	t.filter.Metrics.Tokens.Inc()
--- a/btmetric/metrics.go
+++ b/btmetric/metrics.go
@@ -8,13 +8,14 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// firstTokenBuckets are in seconds around the target of 0.62 s.
+// firstTokenBuckets are bounds in seconds around the target of 0.62 s.
 var firstTokenBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.45, 0.62, 0.9, 1.3, 2, 4, 8, 16, 32}
 
-// tokenGapBuckets are in seconds around the target of 70 ms.
+// tokenGapBuckets are bounds in seconds around the target of 70 ms.
 var tokenGapBuckets = []float64{0.01, 0.02, 0.035, 0.05, 0.07, 0.1, 0.2, 0.5, 1, 2, 5}
 
-// Metrics are the metrics of one daemon.
+// Metrics holds the metrics of one daemon. Filter updates the exported fields;
+// other metrics are registered with functions that read their values.
 type Metrics struct {
 	registry   *prometheus.Registry
 	Requests   *prometheus.CounterVec
@@ -24,7 +25,8 @@
 	TokenGap   prometheus.Histogram
 }
 
-// New returns metrics in a registry of their own.
+// New returns metrics in a new registry, with those of the Go runtime and the
+// process.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -51,23 +53,25 @@
 	return m
 }
 
-// Gauge registers a metric that is read when it is scraped.
+// Gauge registers a gauge that is read when it is scraped. The name gets the prefix
+// "bramleytack_". It panics if the name is registered.
 func (m *Metrics) Gauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "bramleytack_" + name, Help: help}, read))
 }
 
-// Counter registers a counter that is read when it is scraped.
+// Counter registers a counter, otherwise as Gauge does.
 func (m *Metrics) Counter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "bramleytack_" + name, Help: help}, read))
 }
 
-// Sample is one value of a counter with labels.
+// Sample is the value of a counter for one set of label values.
 type Sample struct {
 	Labels []string
 	Value  float64
 }
 
-// Counters registers a counter with labels that is read when it is scraped.
+// Counters registers a counter with labels, otherwise as Gauge does. Each sample
+// has the values of the labels in their order.
 func (m *Metrics) Counters(name, help string, labels []string, read func() []Sample) {
 	m.registry.MustRegister(&readCounters{
 		desc: prometheus.NewDesc("bramleytack_"+name, help, labels, nil), read: read,
@@ -90,7 +94,7 @@
 	}
 }
 
-// Handler serves the metrics.
+// Handler serves the metrics in the Prometheus exposition format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
--- a/bttimer/alarm.go
+++ b/bttimer/alarm.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// alarm is one subscription. The service's mutex guards all but c.
+// alarm is a pending or stopped alarm. The service's mutex guards due, period and
+// index; index is -1 once the alarm has left the heap.
 type alarm struct {
 	service *Service
 	c       chan time.Time
@@ -12,10 +13,11 @@
 	index   int
 }
 
-// C receives the time of each firing.
+// C returns the channel that receives the time of each firing. It is never closed.
 func (a *alarm) C() <-chan time.Time { return a.c }
 
-// Stop ends the subscription.
+// Stop removes the alarm. A firing that is already in the channel stays there.
+// Further calls do nothing.
 func (a *alarm) Stop() { a.service.remove(a) }
 
 func (a *alarm) send(now time.Time) {
--- a/bttimer/doc.go
+++ b/bttimer/doc.go
@@ -1,9 +1,8 @@
-// Package bttimer is the timer service that all parts of a process subscribe
-// to.
+// Package bttimer is the timer service that all parts of a process share.
 //
 // One goroutine holds all pending alarms in a heap and waits on a single
-// runtime timer. Periods can be shortened by a random share, so that hosts
-// which started together do not act in step. The random source is seeded by
+// runtime timer. Periods can be shortened by a random jitter, so that hosts
+// that started together do not act at the same times. The random source is seeded by
 // the caller: tests use a fixed seed, and with testing/synctest the service
 // runs on fake time.
 //
--- a/bttimer/service.go
+++ b/bttimer/service.go
@@ -13,7 +13,7 @@
 // idleWait is how long the service waits when no alarm is pending.
 const idleWait = time.Hour
 
-// Service implements bramleytack.Timer.
+// Service implements bramleytack.Timer. It is safe for concurrent use.
 type Service struct {
 	mu      sync.Mutex
 	pending alarmHeap
@@ -23,7 +23,7 @@
 	once    sync.Once
 }
 
-// New returns a running service whose jitter is drawn from seed.
+// New returns a running service. The seed determines the jitter of its alarms.
 func New(seed uint64) *Service {
 	s := &Service{
 		rng:  rand.New(rand.NewPCG(seed, seed)),
@@ -47,11 +47,12 @@
 	return s.add(&alarm{due: s.Now().Add(d)})
 }
 
-// Every returns an alarm that fires each period, shortened by up to jitter.
+// Every returns an alarm that fires repeatedly. Each period is shortened by a random
+// time below jitter. A firing is dropped while the previous one is unread.
 func (s *Service) Every(period, jitter time.Duration) bramleytack.Alarm {
 	a := &alarm{period: period, jitter: jitter}
 	s.mu.Lock()
-	a.due = s.Now().Add(s.wait(a))
+	a.due = s.Now().Add(s.nextWait(a))
 	s.mu.Unlock()
 	return s.add(a)
 }
@@ -97,9 +98,9 @@
 	}
 }
 
-// wait returns the time to the next firing of a periodic alarm. The caller
+// nextWait returns the time to the next firing of a periodic alarm. The caller
 // holds mu.
-func (s *Service) wait(a *alarm) time.Duration {
+func (s *Service) nextWait(a *alarm) time.Duration {
 	if a.jitter <= 0 {
 		return a.period
 	}
@@ -142,7 +143,7 @@
 			heap.Pop(&s.pending)
 			continue
 		}
-		a.due = now.Add(s.wait(a))
+		a.due = now.Add(s.nextWait(a))
 		heap.Fix(&s.pending, 0)
 	}
 	return idleWait
--- a/bttimer/service_test.go
+++ b/bttimer/service_test.go
@@ -20,7 +20,7 @@
 			})
 		})
 	}
-	run("alarms fire in the order of their times", func(t *testing.T, s *Service) {
+	run("alarms fire in the order of their due times", func(t *testing.T, s *Service) {
 		start := s.Now()
 		late, early := s.After(2*time.Second), s.After(time.Second)
 		assertFires(t, early, start.Add(time.Second))
@@ -39,7 +39,7 @@
 		a.Stop()
 		assert.Equal(t, s.Pending(), 0)
 	})
-	run("a stopped alarm stays silent", func(t *testing.T, s *Service) {
+	run("a stopped alarm does not fire", func(t *testing.T, s *Service) {
 		a := s.After(time.Second)
 		a.Stop()
 		a.Stop()
