--- a/btdaemon/cluster.go
+++ b/btdaemon/cluster.go
@@ -16,46 +16,46 @@
 )
 
 const (
-	// claimShards is the number of shards of a cell's claims. It must not
-	// change while claims are kept.
-	claimShards = 8
-	// leaveTimeout bounds the giving up of roles at the end of a drain.
+	// claimShardCount is the number of shards of a cell's claims. It must not
+	// change while claims are stored, since they would belong to other shards.
+	claimShardCount = 8
+	// leaveTimeout limits leaving the cell at the end of a drain.
 	leaveTimeout = 15 * time.Second
-	// answerTime is how long a daemon that has left its cell goes on to answer
-	// the calls of its peers.
-	answerTime = 2 * time.Second
+	// lateCallPeriod is how long a daemon that has left its cell keeps answering
+	// calls of its peers.
+	lateCallPeriod = 2 * time.Second
 	// hostReadsPerSecond is the rate at which the members of a cell together
 	// read the host list.
 	hostReadsPerSecond = 4
-	// storeFirst is how long a starting daemon waits for the store before it
-	// takes the configuration from a peer.
-	storeFirst = 2 * time.Second
-	// watchCheck is how often a member decides whether it watches the store and
-	// whether its configuration is complete.
-	watchCheck = 50 * time.Millisecond
-	// heartbeatLimit is the time without a heartbeat from which on a member
-	// watches the store itself: three heartbeats and a round trip.
-	heartbeatLimit = 2500 * time.Millisecond
-	// isolationLimit is the time without an answer of the store or a peer from
-	// which on a host takes itself for isolated.
-	isolationLimit = 3 * time.Second
+	// storeGracePeriod is how long a starting daemon waits for the store before it
+	// loads the configuration from a peer.
+	storeGracePeriod = 2 * time.Second
+	// watchCheckPeriod is how often a member checks whether it should watch the
+	// store and whether its configuration is complete.
+	watchCheckPeriod = 50 * time.Millisecond
+	// heartbeatTimeout is the time without a successful heartbeat after which a
+	// member watches the store itself: three heartbeats and a round trip.
+	heartbeatTimeout = 2500 * time.Millisecond
+	// isolationTimeout is the time without a response of the store or a reply of a
+	// peer after which a host counts as isolated.
+	isolationTimeout = 3 * time.Second
 )
 
-// cluster is a daemon's part in its cell.
+// cluster holds the parts of a daemon that communicate with its peers.
 type cluster struct {
-	mux      *btpeer.Mux
-	node     *btpeer.Node
-	lease    *btlease.Lease
-	cell     *btview.Cell
-	owners   *btremote.Owners
-	claims   *btremote.Claims
-	spread   *btremote.ConfigSync
-	exchange *btremote.Exchange
-	suspects *btremote.Suspects
+	mux        *btpeer.Mux
+	node       *btpeer.Node
+	lease      *btlease.Lease
+	cell       *btview.Cell
+	owners     *btremote.Owners
+	claims     *btremote.Claims
+	configSync *btremote.ConfigSync
+	exchange   *btremote.Exchange
+	suspects   *btremote.Suspects
 }
 
-// buildCluster makes the parts that speak to other daemons. It fails if the
-// certificates can't be read.
+// buildCluster creates the parts that communicate with other daemons. It fails if
+// the certificates cannot be read.
 func (d *Daemon) buildCluster() error {
 	s := d.settings
 	c := &d.cluster
@@ -79,24 +79,24 @@
 		OnView:         d.viewChanged,
 		ConfigRevision: func() bramleytack.Revision { return d.config.Digest().Revision },
 	}
-	c.owners = &btremote.Owners{Self: s.Host, Node: c.node, Cell: c.cell, Table: d.table, Loads: d.loads, Timer: d.timers, OnFreeCapacity: d.room}
+	c.owners = &btremote.Owners{Self: s.Host, Node: c.node, Cell: c.cell, Table: d.table, Loads: d.loads, Timer: d.timers, OnFreeCapacity: d.capacityFreed}
 	d.table.Ownership = c.owners
 	c.claims = &btremote.Claims{Self: s.Host, Node: c.node, Cell: c.cell}
-	for n := range claimShards {
+	for n := range claimShardCount {
 		c.claims.Shards = append(c.claims.Shards, &btclaim.Shard{Store: d.store, Timer: d.timers, Cell: s.Cell, Number: n, Interval: s.ClaimInterval})
 	}
-	c.spread = &btremote.ConfigSync{Self: s.Host, Node: c.node, Cell: c.cell, Config: d.config, Timer: d.timers, Complete: d.loaded.Load}
-	c.cell.OnConfigRevision = c.spread.ObserveRevision
+	c.configSync = &btremote.ConfigSync{Self: s.Host, Node: c.node, Cell: c.cell, Config: d.config, Timer: d.timers, Complete: d.configLoaded.Load}
+	c.cell.OnConfigRevision = c.configSync.ObserveRevision
 	c.exchange = &btremote.Exchange{
 		Self: s.Host, Node: c.node, Cell: c.cell, Timer: d.timers, Table: d.table, Loads: d.loads, Limiter: d.limiter,
-		ConfigSync: c.spread, Hosts: d.hosts, OwnState: d.state,
+		ConfigSync: c.configSync, Hosts: d.hosts, OwnState: d.ownState,
 	}
 	c.suspects = &btremote.Suspects{Self: s.Host, Node: c.node, Cell: c.cell, Table: d.suspects}
 	d.suspects.Notify = c.suspects.Notify
 	btview.Register(c.mux, c.cell)
 	c.owners.Register(c.mux)
 	c.claims.Register(c.mux)
-	c.spread.Register(c.mux)
+	c.configSync.Register(c.mux)
 	c.exchange.Register(c.mux)
 	c.suspects.Register(c.mux)
 	return nil
@@ -116,12 +116,13 @@
 	}
 	d.limiter.SetMembers(hosts)
 	d.cluster.exchange.Forget(v)
-	d.own()
+	d.updateOwnership()
 	d.cluster.owners.ReportReservations(context.Background())
 }
 
-// own brings the owned upstreams in line with the view.
-func (d *Daemon) own() {
+// updateOwnership assigns the upstreams whose owner may have changed since the
+// last call, and disowns those whose record is gone.
+func (d *Daemon) updateOwnership() {
 	o := &d.ownership
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -135,9 +136,9 @@
 	}
 }
 
-// assign takes an upstream over, or gives it up, by the view.
+// assign adds an upstream to the owner table or removes it, as the view demands.
 func (d *Daemon) assign(view *btview.View, u *bramleytack.Upstream) {
-	if !d.owner(view, u) {
+	if !d.isOwner(view, u) {
 		d.table.Disown(u.ID)
 		return
 	}
@@ -150,9 +151,9 @@
 	}
 }
 
-// owner says whether this host owns an upstream by a view. Upstreams of other
-// cells have their owners there.
-func (d *Daemon) owner(view *btview.View, u *bramleytack.Upstream) bool {
+// isOwner reports whether the view makes this host the owner of an upstream.
+// Upstreams of another cell are owned by that cell's members.
+func (d *Daemon) isOwner(view *btview.View, u *bramleytack.Upstream) bool {
 	if view == nil || !u.In(d.settings.Cell) {
 		return false
 	}
@@ -160,8 +161,8 @@
 	return ok && m.Host == d.settings.Host
 }
 
-// state is what the daemon tells the other members.
-func (d *Daemon) state() btremote.State {
+// ownState returns the state that the daemon sends to the other members.
+func (d *Daemon) ownState() btremote.State {
 	st := btremote.State{
 		Host: d.settings.Host, EntryAddr: d.settings.Listen, AdminAddr: d.settings.AdminListen,
 		FailureDomain: d.settings.FailureDomain, Draining: d.draining.Load(), Config: d.config.Digest(), Streams: d.front.OpenStreams(),
@@ -195,34 +196,33 @@
 	return serving, d.settings.EntriesValidFor
 }
 
-// isolated says whether the host reaches neither the store nor a peer.
+// isolated reports whether the host reaches neither the store nor a peer.
 func (d *Daemon) isolated() bool {
 	now := d.timers.Now()
-	return now.Sub(d.cluster.cell.LastContact()) > isolationLimit && now.Sub(d.store.LastResponse()) > isolationLimit
+	return now.Sub(d.cluster.cell.LastContact()) > isolationTimeout && now.Sub(d.store.LastResponse()) > isolationTimeout
 }
 
 // hostPeriod is the time between two reads of the host list by this host.
 func (d *Daemon) hostPeriod() time.Duration {
-	return time.Second * time.Duration(d.members()) / hostReadsPerSecond
+	return time.Second * time.Duration(d.memberCount()) / hostReadsPerSecond
 }
 
-func (d *Daemon) members() int {
+func (d *Daemon) memberCount() int {
 	if v := d.cluster.cell.View(); v != nil {
 		return max(len(v.Members), 1)
 	}
 	return 1
 }
 
-// runWatch watches the store while this member is one of the cell's watchers,
-// or while it hears nothing from the coordinator. The others get changes over
-// their links.
+// runWatch watches the store while shouldWatchStore holds. Other members get
+// changes of the configuration from their peers.
 func (d *Daemon) runWatch(ctx context.Context) {
-	tick := d.timers.Every(watchCheck, 0)
+	tick := d.timers.Every(watchCheckPeriod, 0)
 	defer tick.Stop()
 	var stop context.CancelFunc
 	for {
 		d.checkLoaded(ctx)
-		switch wanted := d.watches(); {
+		switch wanted := d.shouldWatchStore(); {
 		case wanted && stop == nil:
 			var watch context.Context
 			watch, stop = context.WithCancel(ctx)
@@ -242,40 +242,42 @@
 	}
 }
 
-// checkLoaded notes when the configuration is complete: after the first list of
-// all kinds, or from a member that has it while the store is away.
+// checkLoaded records that the configuration is complete: after the first list of
+// all kinds from the store, or after it was loaded from a peer.
 func (d *Daemon) checkLoaded(ctx context.Context) {
-	if d.loaded.Load() {
+	if d.configLoaded.Load() {
 		return
 	}
 	if d.watcher.Synced() || d.loadFromPeer(ctx) {
-		d.loaded.Store(true)
-		close(d.complete)
+		d.configLoaded.Store(true)
+		close(d.configComplete)
 	}
 }
 
-// loadFromPeer asks the members one after the other. A daemon that has just
-// started first gives the store a chance.
+// loadFromPeer asks the other members for the configuration, one by one, and
+// reports whether one had it. It asks none before storeGracePeriod is over.
 func (d *Daemon) loadFromPeer(ctx context.Context) bool {
 	v := d.cluster.cell.View()
-	if v == nil || d.timers.Now().Sub(d.started) < storeFirst {
+	if v == nil || d.timers.Now().Sub(d.started) < storeGracePeriod {
 		return false
 	}
 	for _, m := range v.Members {
-		if m.Host != d.settings.Host && d.cluster.spread.Load(ctx, m.Host) {
+		if m.Host != d.settings.Host && d.cluster.configSync.Load(ctx, m.Host) {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Daemon) watches() bool {
+// shouldWatchStore reports whether this member is one of the cell's watchers, has
+// no view or no complete configuration yet, or has lost the coordinator.
+func (d *Daemon) shouldWatchStore() bool {
 	v := d.cluster.cell.View()
 	if v == nil || slices.Contains(v.Watchers(), d.settings.Host) {
 		return true
 	}
-	if !d.loaded.Load() {
+	if !d.configLoaded.Load() {
 		return true
 	}
-	return d.timers.Now().Sub(d.cluster.cell.ViewLeaseStart()) > heartbeatLimit
+	return d.timers.Now().Sub(d.cluster.cell.ViewLeaseStart()) > heartbeatTimeout
 }
--- a/btdaemon/daemon.go
+++ b/btdaemon/daemon.go
@@ -33,7 +33,7 @@
 	"bramleytack/btupstream"
 )
 
-// Daemon is one process of the system.
+// Daemon is one serving process. It is built by New and can run once.
 type Daemon struct {
 	settings btsettings.Settings
 	log      *btevent.Logger
@@ -42,7 +42,7 @@
 	config   *btconfig.Config
 	watcher  *btconfig.Watcher
 	hosts    *bthost.Watcher
-	// snapshots is the configuration with leaving hosts marked.
+	// snapshots provides the configuration with leaving hosts marked.
 	snapshots *bthost.Overlay
 	pool      *btupstream.Pool
 	lengths   *btlength.Estimator
@@ -61,19 +61,21 @@
 	metrics   *btmetric.Metrics
 	dumps     btdump.Registry
 
-	started  time.Time
-	draining atomic.Bool
-	keyed    atomic.Bool
-	// loaded is set, and complete closed, once the configuration is complete.
-	loaded   atomic.Bool
-	complete chan struct{}
-	wg       sync.WaitGroup
+	started    time.Time
+	draining   atomic.Bool
+	keysLoaded atomic.Bool
+	// configLoaded is set, and configComplete closed, once the configuration is
+	// complete.
+	configLoaded   atomic.Bool
+	configComplete chan struct{}
+	wg             sync.WaitGroup
 }
 
-// New returns a daemon that has not started.
+// New returns a daemon that has not started. It fails if the store client
+// cannot be created or the certificates for peers cannot be read.
 func New(s btsettings.Settings, log *btevent.Logger) (*Daemon, error) {
-	seed := seedOf(s.Host)
-	d := &Daemon{settings: s, log: log, timers: bttimer.New(seed), metrics: btmetric.New(), complete: make(chan struct{})}
+	seed := hostSeed(s.Host)
+	d := &Daemon{settings: s, log: log, timers: bttimer.New(seed), metrics: btmetric.New(), configComplete: make(chan struct{})}
 	d.started = d.timers.Now()
 	store, err := btstore.New(btstore.Config{URL: "http://" + s.Platform.String(), Timer: d.timers, Seed: seed})
 	if err != nil {
@@ -84,20 +86,21 @@
 	d.watcher = &btconfig.Watcher{Store: store, Config: d.config, Timer: d.timers, Seed: seed, OnError: d.watchFailed}
 	d.hosts = &bthost.Watcher{Store: store, Timer: d.timers, Period: d.hostPeriod, OnChange: d.hostsChanged}
 	d.snapshots = &bthost.Overlay{Config: d.config, Hosts: d.hosts}
-	d.pool = btupstream.NewPool(btupstream.Options{OnConnLost: d.upstreamLost})
+	d.pool = btupstream.NewPool(btupstream.Options{OnConnLost: d.upstreamConnLost})
 	d.keys = &bttoken.Keyring{Store: store, Timer: d.timers}
 	d.buildOwner()
 	if err := d.buildCluster(); err != nil {
 		return nil, err
 	}
-	d.buildPath()
+	d.buildRequestPath()
 	d.buildPlacement()
 	d.admin = &btadmin.Admin{Store: store, Config: d.config, Timer: d.timers, Changed: d.recordChanged}
-	d.register()
+	d.registerDiagnostics()
 	return d, nil
 }
 
-// Run serves until the context ends and the requests in flight are done.
+// Run serves until the context ends and the daemon is drained, or until a server
+// fails, and returns that server's error.
 func (d *Daemon) Run(ctx context.Context) error {
 	l, err := d.listen()
 	if err != nil {
@@ -106,7 +109,7 @@
 	defer d.timers.Close()
 	defer d.pool.Close()
 	defer d.store.Close()
-	// The parts outlive ctx: they serve the requests that are drained.
+	// The parts outlive ctx, since requests in flight need them during the drain.
 	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer d.wg.Wait()
 	defer d.cluster.node.Close()
@@ -133,7 +136,7 @@
 	d.spawn(func() { _ = c.node.Serve(ctx, l.peers) })
 	d.spawn(func() { c.lease.Run(ctx) })
 	d.spawn(func() { c.cell.Run(ctx) })
-	d.spawn(func() { c.spread.Run(ctx) })
+	d.spawn(func() { c.configSync.Run(ctx) })
 	d.spawn(func() { c.owners.Run(ctx) })
 	d.spawn(func() { c.exchange.Run(ctx) })
 	d.spawn(func() { c.suspects.Run(ctx) })
@@ -160,38 +163,38 @@
 }
 
 const (
-	// keyRetry is the wait between two tries to load the signing keys.
-	keyRetry = 500 * time.Millisecond
-	// queuePeriod drives the queue's ticks.
-	queuePeriod = 250 * time.Millisecond
-	// limitPeriod is how often the limiter's shares are computed.
-	limitPeriod = time.Second
+	// keyRetryPeriod is the wait between two attempts to load the signing keys.
+	keyRetryPeriod = 500 * time.Millisecond
+	// queueTickPeriod is the time between two calls of the queue's Tick.
+	queueTickPeriod = 250 * time.Millisecond
+	// limiterRefreshPeriod is how often the limiter's shares are computed.
+	limiterRefreshPeriod = time.Second
 )
 
 // runKeys loads the signing keys, which needs the store, and rotates them.
 func (d *Daemon) runKeys(ctx context.Context) {
 	for d.keys.Load(ctx) != nil {
-		if d.timers.Sleep(ctx, keyRetry) != nil {
+		if d.timers.Sleep(ctx, keyRetryPeriod) != nil {
 			return
 		}
 	}
-	d.keyed.Store(true)
+	d.keysLoaded.Store(true)
 	d.keys.Run(ctx)
 }
 
-// runHousekeeping follows the configuration and drives what has no goroutine
-// of its own.
+// runHousekeeping applies changes of the configuration, and calls the queue and
+// the limiter periodically, which have no goroutines of their own.
 func (d *Daemon) runHousekeeping(ctx context.Context) {
 	changes, cancel := d.config.Subscribe()
 	defer cancel()
-	tick := d.timers.Every(queuePeriod, 0)
+	tick := d.timers.Every(queueTickPeriod, 0)
 	defer tick.Stop()
-	refresh := d.timers.Every(limitPeriod, 0)
+	refresh := d.timers.Every(limiterRefreshPeriod, 0)
 	defer refresh.Stop()
 	for {
 		select {
 		case <-changes:
-			d.configure()
+			d.applyConfig()
 		case <-tick.C():
 			d.queue.Tick()
 		case now := <-refresh.C():
@@ -202,23 +205,23 @@
 	}
 }
 
-// configure brings the owner's table and the load table in line with a new
-// snapshot.
-func (d *Daemon) configure() {
+// applyConfig updates the owner table, the load table and the owned upstreams
+// from the current snapshot.
+func (d *Daemon) applyConfig() {
 	s := d.snapshots.Snapshot()
 	d.log.Event(btevent.ConfigApplied).Uint64("revision", uint64(s.Revision)).Send()
 	d.loads.Retain(s)
-	d.own()
+	d.updateOwnership()
 	d.table.Configure(s)
 }
 
-// drain leaves the entry list, waits for the callers that still use it, lets
-// the requests in flight end and gives up the roles.
+// drain removes the daemon from the entry list, waits until no caller uses an
+// older list, waits for the requests in flight and leaves the cell.
 func (d *Daemon) drain(ctx context.Context, servers []*http.Server) {
 	d.log.Event(btevent.ProcessDraining).Int("streams", d.front.OpenStreams()).Send()
 	d.draining.Store(true)
-	// The other members hear of it by their next exchange, and the lists that
-	// they gave out until then stay in use for their validity.
+	// The other members learn this with their next exchange. The entry lists that
+	// they returned before stay valid for EntriesValidFor.
 	_ = d.timers.Sleep(ctx, d.settings.EntriesValidFor+2*d.cluster.exchange.Period())
 	ctx, cancel := context.WithTimeout(ctx, d.settings.DrainTimeout)
 	defer cancel()
@@ -228,9 +231,9 @@
 	ctx, cancel = context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	_ = d.cluster.cell.Leave(ctx)
-	// All members have the next view by now. What they asked of this daemon
-	// before may still be on its way.
-	_ = d.timers.Sleep(ctx, answerTime)
+	// All members have the next view now, but calls that they sent before may still
+	// arrive.
+	_ = d.timers.Sleep(ctx, lateCallPeriod)
 }
 
 func (d *Daemon) watchFailed(kind string, err error) {
@@ -238,7 +241,7 @@
 }
 
 func (d *Daemon) recordChanged(key bramleytack.Key, version bramleytack.Revision, conflict error) {
-	e := either(conflict == nil, btevent.RecordChanged, btevent.RecordConflict)
+	e := chooseEvent(conflict == nil, btevent.RecordChanged, btevent.RecordConflict)
 	d.log.Event(e).Str("kind", key.Kind).Str("name", key.Name).Uint64("version", uint64(version)).Send()
 }
 
@@ -249,7 +252,7 @@
 	}
 }
 
-func seedOf(h bramleytack.HostID) uint64 {
+func hostSeed(h bramleytack.HostID) uint64 {
 	f := fnv.New64a()
 	_, _ = f.Write([]byte(h))
 	return f.Sum64()
--- a/btdaemon/daemon_test.go
+++ b/btdaemon/daemon_test.go
@@ -27,12 +27,11 @@
 	"bramleytack/internal/btplatform"
 )
 
-// startLimit is how long a daemon may take to start. It is generous, since the
-// machine may be busy.
-const startLimit = 30 * time.Second
+// startTimeout is how long a daemon may take to start on a busy machine.
+const startTimeout = 30 * time.Second
 
-// Guards against a daemon without peers that takes itself for isolated, and
-// against one that goes on taking work when it reaches nothing.
+// Guards against a daemon that counts as isolated for lack of peers, and against
+// one that stays ready when it reaches neither the store nor a peer.
 func TestIsolation(t *testing.T) {
 	store := btmemstore.New()
 	_, err := store.Put(t.Context(), bramleytack.Object{
@@ -50,7 +49,8 @@
 	waitFor(t, "readiness after the outage", d.Ready)
 }
 
-// Guards against a daemon that has no state to show.
+// Guards against state or metrics missing on the admin address, and against a
+// status without a key.
 func TestAdminAddress(t *testing.T) {
 	d := startDaemon(t, btmemstore.New())
 	admin := httptest.NewServer(d.adminMux())
@@ -71,34 +71,34 @@
 	assert.Equal(t, resp.StatusCode, http.StatusUnauthorized)
 }
 
-// Guards against daemons that join a cell without a certificate of its
-// authority, or under another name than their certificate's.
+// Guards against daemons that join a cell with a certificate of another authority
+// or of another host, and against a start with an unusable key.
 func TestMutualTLS(t *testing.T) {
 	platform := startPlatform(t, btmemstore.New())
-	dir, stranger := t.TempDir(), t.TempDir()
+	dir, foreignDir := t.TempDir(), t.TempDir()
 	authority := writeAuthority(t, dir)
 	daemons := map[bramleytack.HostID]*Daemon{}
 	for _, host := range []bramleytack.HostID{"a-1", "a-2"} {
 		daemons[host] = runDaemon(t, withTLS(t, platform, host, host, dir, authority))
 	}
 	for host, d := range daemons {
-		waitFor(t, "view of both hosts at "+string(host), func() bool { return d.members() == 2 })
+		waitFor(t, "view of both hosts at "+string(host), func() bool { return d.memberCount() == 2 })
 	}
-	foreign := runDaemon(t, withTLS(t, platform, "b-1", "b-1", stranger, writeAuthority(t, stranger)))
-	renamed := runDaemon(t, withTLS(t, platform, "c-1", "a-2", dir, authority))
-	waitFor(t, "links of another authority", func() bool { return dialed(foreign) >= 3 })
-	waitFor(t, "links under another name", func() bool { return dialed(renamed) >= 1 })
+	foreign := runDaemon(t, withTLS(t, platform, "b-1", "b-1", foreignDir, writeAuthority(t, foreignDir)))
+	impostor := runDaemon(t, withTLS(t, platform, "c-1", "a-2", dir, authority))
+	waitFor(t, "dials by a daemon of another authority", func() bool { return dialAttempts(foreign) >= 3 })
+	waitFor(t, "dials by a daemon with another host's certificate", func() bool { return dialAttempts(impostor) >= 1 })
 	// Several heartbeats and views fit into this time.
 	time.Sleep(3 * time.Second)
-	assert.Equal(t, daemons["a-1"].members(), 2)
+	assert.Equal(t, daemons["a-1"].memberCount(), 2)
 	s := withTLS(t, platform, "d-1", "d-1", dir, authority)
 	s.PeerTLS.Key = s.PeerTLS.Certificate
 	_, err := New(s, &btevent.Logger{})
 	assert.Assert(t, err != nil)
 }
 
-// dialed returns how often a daemon has tried to link to any peer.
-func dialed(d *Daemon) int {
+// dialAttempts returns how often a daemon has dialed any peer.
+func dialAttempts(d *Daemon) int {
 	n := 0
 	for _, l := range d.cluster.node.Dump().(btpeer.State).Links {
 		n += l.Dialed + l.FailedDials
@@ -114,12 +114,12 @@
 	return a
 }
 
-// withTLS returns settings of a host with a certificate for a name.
+// withTLS returns settings of a host whose certificate is issued for name.
 func withTLS(t *testing.T, platform netip.AddrPort, host, name bramleytack.HostID, dir string, a *btcert.Authority) btsettings.Settings {
 	t.Helper()
 	pair, err := a.Issue(name, time.Now(), time.Hour)
 	assert.NilError(t, err)
-	s := settingsOf(t, platform, host)
+	s := testSettings(t, platform, host)
 	s.PeerTLS = btsettings.PeerTLS{
 		Certificate: filepath.Join(dir, string(host)+".pem"),
 		Key:         filepath.Join(dir, string(host)+"-key.pem"),
@@ -139,7 +139,7 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(platform.URL, "http://"))
 }
 
-func settingsOf(t *testing.T, platform netip.AddrPort, host bramleytack.HostID) btsettings.Settings {
+func testSettings(t *testing.T, platform netip.AddrPort, host bramleytack.HostID) btsettings.Settings {
 	t.Helper()
 	s := btsettings.Defaults()
 	s.Host, s.Region, s.FailureDomain, s.Cell = host, "r", "a", "c"
@@ -153,7 +153,7 @@
 
 func startDaemon(t *testing.T, store *btmemstore.Store) *Daemon {
 	t.Helper()
-	return runDaemon(t, settingsOf(t, startPlatform(t, store), "a-1"))
+	return runDaemon(t, testSettings(t, startPlatform(t, store), "a-1"))
 }
 
 func runDaemon(t *testing.T, s btsettings.Settings) *Daemon {
@@ -177,7 +177,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("no %s yet", what)
-	}, poll.WithTimeout(startLimit))
+	}, poll.WithTimeout(startTimeout))
 }
 
 // freeAddr returns a loopback address that was free a moment ago.
--- a/btdaemon/doc.go
+++ b/btdaemon/doc.go
@@ -2,14 +2,14 @@
 //
 // A daemon serves callers, operators and other daemons on three addresses. All
 // daemons of a deployment run the same parts; which upstreams a daemon owns and
-// whether it coordinates its cell follow from the cell's lease and view.
+// whether it coordinates its cell are determined by the cell's lease and view.
 //
 // # Shutdown
 //
-// When its context ends, a daemon leaves the entry list, goes on accepting
-// until the longest entry list that it has given out has run out, waits for the
-// requests in flight and then gives up its roles. No request is cut before the
-// drain timeout.
+// When its context ends, a daemon removes itself from the entry list and accepts
+// requests until all entry lists that name it have expired. It then waits for the
+// requests in flight and leaves its cell, which releases its ownerships and the
+// lease. No request is aborted before the drain timeout.
 //
 // # Usage
 //
--- a/btdaemon/health.go
+++ b/btdaemon/health.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// healthPeriod is how often the daemon looks at its own state.
+	// healthPeriod is how often the daemon checks its own state.
 	healthPeriod = 500 * time.Millisecond
-	// storeSilence is the time without an answer from which on the store counts
-	// as unavailable. Each daemon calls it at least once in this time while the
-	// cell has at most 32 members.
-	storeSilence = 10 * time.Second
+	// storeTimeout is the time without a response after which the store counts as
+	// unavailable. In a cell of at most 32 members, each daemon calls the store at
+	// least once in this time.
+	storeTimeout = 10 * time.Second
 )
 
-// health is what the daemon last logged of its own state. Only runHealth uses
-// it.
-type health struct {
+// loggedState is the state that the daemon logged last. Only the goroutine of
+// runHealth uses it.
+type loggedState struct {
 	isolated    bool
 	storeDown   bool
 	viewExpired bool
@@ -31,16 +31,16 @@
 	linkDown    map[bramleytack.HostID]bool
 }
 
-// runHealth logs changes of the daemon's state until the context ends. It
-// decides nothing: whoever acts on these states checks them when it acts.
+// runHealth logs changes of the daemon's state until the context ends. No other
+// part depends on it: each checks the state itself before it acts.
 func (d *Daemon) runHealth(ctx context.Context) {
 	tick := d.timers.Every(healthPeriod, 0)
 	defer tick.Stop()
-	h := &health{linkDown: map[bramleytack.HostID]bool{}}
+	h := &loggedState{linkDown: map[bramleytack.HostID]bool{}}
 	for {
 		select {
 		case now := <-tick.C():
-			d.checkContact(h, now)
+			d.checkConnectivity(h, now)
 			d.checkLease(h)
 			d.checkLinks(h)
 			d.checkConfig(h)
@@ -50,12 +50,12 @@
 	}
 }
 
-func (d *Daemon) checkContact(h *health, now time.Time) {
-	if is := d.isolated(); is != h.isolated {
-		h.isolated = is
-		d.log.Event(either(is, btevent.HostIsolated, btevent.HostRejoined)).Send()
+func (d *Daemon) checkConnectivity(h *loggedState, now time.Time) {
+	if isolated := d.isolated(); isolated != h.isolated {
+		h.isolated = isolated
+		d.log.Event(chooseEvent(isolated, btevent.HostIsolated, btevent.HostRejoined)).Send()
 	}
-	down := now.Sub(d.store.LastResponse()) > storeSilence && now.Sub(d.started) > storeSilence
+	down := now.Sub(d.store.LastResponse()) > storeTimeout && now.Sub(d.started) > storeTimeout
 	if down && !h.storeDown {
 		d.log.Event(btevent.StoreDown).Time("lastAnswer", d.store.LastResponse()).Send()
 	}
@@ -67,7 +67,7 @@
 	h.viewExpired = expired
 }
 
-func (d *Daemon) checkLease(h *health) {
+func (d *Daemon) checkLease(h *loggedState) {
 	fence, _, held := d.cluster.lease.Held()
 	if !held {
 		fence = 0
@@ -75,18 +75,18 @@
 	if fence == h.fence {
 		return
 	}
-	e := either(held, btevent.LeaseAcquired, btevent.LeaseLost)
+	e := chooseEvent(held, btevent.LeaseAcquired, btevent.LeaseLost)
 	d.log.Event(e).Uint64("fence", uint64(max(fence, h.fence))).Send()
 	h.fence = fence
 }
 
-func (d *Daemon) checkLinks(h *health) {
+func (d *Daemon) checkLinks(h *loggedState) {
 	state, ok := d.cluster.node.Dump().(btpeer.State)
 	if !ok {
 		return
 	}
 	for _, l := range state.Links {
-		// A link that never came up belongs to a peer that is starting.
+		// A link that was never up belongs to a peer that is starting.
 		down := !l.Up && l.Dialed > 0
 		if down && !h.linkDown[l.Host] {
 			d.log.Event(btevent.PeerLost).Str("peer", string(l.Host)).Send()
@@ -95,7 +95,7 @@
 	}
 }
 
-func (d *Daemon) checkConfig(h *health) {
+func (d *Daemon) checkConfig(h *loggedState) {
 	if n := d.config.Stats().Undecodable; n != h.undecodable {
 		if n > h.undecodable {
 			d.log.Event(btevent.RecordUndecodable).Int("records", n).Send()
@@ -111,7 +111,7 @@
 	h.quarantined = current
 }
 
-func either(b bool, yes, no btevent.Event) btevent.Event {
+func chooseEvent(b bool, yes, no btevent.Event) btevent.Event {
 	if b {
 		return yes
 	}
--- a/btdaemon/ownership.go
+++ b/btdaemon/ownership.go
@@ -7,9 +7,9 @@
 	"bramleytack/btview"
 )
 
-// ownership remembers what was assigned by which view. To find the owner of an
-// upstream takes a hash for each member, so unchanged upstreams are passed over:
-// with 10,000 of them, each change of any record took 12 ms.
+// ownership records the view and the upstreams of the last assignment. Finding the
+// owner of an upstream takes a hash per member, so unchanged upstreams are skipped:
+// without this, each change of any record took 12 ms with 10,000 upstreams.
 type ownership struct {
 	mu        sync.Mutex
 	view      *btview.View
--- a/btdaemon/ownership_test.go
+++ b/btdaemon/ownership_test.go
@@ -24,7 +24,7 @@
 }
 
 // Guards against upstreams that keep their former owner after a change, and
-// against the work of a whole assignment after a change of another record.
+// against assigning all upstreams again after a change of another record.
 func TestOwnershipChanged(t *testing.T) {
 	const n = 10
 	o := &ownership{}
@@ -38,17 +38,17 @@
 	assertChanged(t, o, view, next, 2, 0)
 	assertChanged(t, o, &btview.View{Number: 2}, next, n+1, 0)
 	assertChanged(t, o, nil, next, n+1, 0)
-	// A deleted upstream has to be given up, or its digest is told for ever.
+	// A deleted upstream must be disowned, or its digest is sent indefinitely.
 	assertChanged(t, o, nil, list, 1, 1)
 }
 
-// Guards against an upstream with an owner in each of several cells, which
-// together would exceed its limits.
+// Guards against an upstream with owners in several cells, which together would
+// exceed its limits.
 func TestOwnerIsInOneCell(t *testing.T) {
 	view := &btview.View{Number: 1, Members: []btview.Member{{Host: "a-1"}}}
 	for cell, want := range map[bramleytack.CellID]bool{"": true, "c-1": true, "c-2": false} {
 		d := &Daemon{settings: btsettings.Settings{Host: "a-1", Cell: "c-1"}}
-		assert.Equal(t, d.owner(view, &bramleytack.Upstream{ID: "u", Cell: cell}), want, "cell %q", cell)
+		assert.Equal(t, d.isOwner(view, &bramleytack.Upstream{ID: "u", Cell: cell}), want, "cell %q", cell)
 	}
 }
 
@@ -59,7 +59,7 @@
 	assert.Equal(t, len(r), removed)
 }
 
-// BenchmarkOwnershipUnchanged is the cost of a change that concerns no upstream.
+// BenchmarkOwnershipUnchanged measures a change that affects no upstream.
 func BenchmarkOwnershipUnchanged(b *testing.B) {
 	o := &ownership{}
 	view, list := &btview.View{Number: 1}, upstreams(10_000)
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkProbeWalk asks for each upstream of the fleet whether it is owned,
-// as the prober does four times a second.
+// BenchmarkProbeWalk measures checking whether each of 10,000 upstreams is owned,
+// which the prober does four times a second.
 func BenchmarkProbeWalk(b *testing.B) {
 	timers := bttimer.New(1)
 	defer timers.Close()
--- a/btdaemon/path.go
+++ b/btdaemon/path.go
@@ -20,7 +20,7 @@
 	"bramleytack/btroute"
 )
 
-// buildOwner makes the parts that admit work to owned upstreams.
+// buildOwner creates the parts that admit requests to owned upstreams.
 func (d *Daemon) buildOwner() {
 	d.lengths = btlength.New(btlength.Config{})
 	d.table = btowner.NewTable(btowner.Config{Lengths: d.lengths}, d.timers)
@@ -32,13 +32,14 @@
 		Upstreams:      d.pool,
 		Timer:          d.timers,
 		ShouldProbe:    d.table.Owns,
-		OnReport:       d.report,
-		OnHealthChange: d.probeFailed,
+		OnReport:       d.handleLoadReport,
+		OnHealthChange: d.upstreamHealthChanged,
 	}
 }
 
-// buildPath makes the filters of the request path, in the order of the design.
-func (d *Daemon) buildPath() {
+// buildRequestPath creates the dispatcher and the filters before it. A request
+// passes the filters in the order of the list.
+func (d *Daemon) buildRequestPath() {
 	s := d.settings
 	c := &d.cluster
 	d.queue = &btqueue.Filter{
@@ -50,10 +51,10 @@
 	path := bramleytack.Chain(
 		dispatch,
 		&btmetric.Filter{Metrics: d.metrics, Timer: d.timers},
-		&btidentity.Filter{Snapshots: d.snapshots, Timer: d.timers, MaxTimeout: s.Limits.MaxTimeout, ConfigLoaded: d.complete},
+		&btidentity.Filter{Snapshots: d.snapshots, Timer: d.timers, MaxTimeout: s.Limits.MaxTimeout, ConfigLoaded: d.configComplete},
 		&btclaim.Filter{
-			Snapshots: d.snapshots, Claims: &btclaim.Router{Count: claimShards, Owner: c.claims.Owner},
-			Entry: s.Host, OnFinishError: d.unrecorded,
+			Snapshots: d.snapshots, Claims: &btclaim.Router{Count: claimShardCount, Owner: c.claims.Owner},
+			Entry: s.Host, OnFinishError: d.claimNotStored,
 		},
 		&btlimit.Filter{Limiter: d.limiter, Snapshots: d.snapshots, Timer: d.timers},
 		&btquarantine.Filter{Table: d.suspects, Arbiter: c.suspects.Arbitrate},
@@ -65,7 +66,7 @@
 			Retry:              &btroute.Backoff{Timer: d.timers},
 			Granted:            d.queue.Granted,
 		},
-		&btquarantine.Detector{Table: d.suspects, Snapshots: d.snapshots, Upstreams: d.pool, Crashed: d.crashed, Flush: c.suspects.Flush},
+		&btquarantine.Detector{Table: d.suspects, Snapshots: d.snapshots, Upstreams: d.pool, Crashed: d.upstreamCrashed, Flush: c.suspects.Flush},
 		&btquarantine.Tracker{Table: d.suspects},
 	)
 	d.front = &btfront.Front{
@@ -73,8 +74,9 @@
 	}
 }
 
-// report takes a load report of an owned upstream.
-func (d *Daemon) report(u *bramleytack.Upstream, r bramleytack.LoadReport) {
+// handleLoadReport updates the tables with a load report of an owned upstream, and
+// wakes queued requests if the upstream has free capacity.
+func (d *Daemon) handleLoadReport(u *bramleytack.Upstream, r bramleytack.LoadReport) {
 	// A draining engine gets no new work, as if it were leaving.
 	r.Leaving = r.Leaving || r.Role == btplace.RoleDraining
 	d.table.Report(u.ID, r)
@@ -83,14 +85,15 @@
 		return
 	}
 	d.loads.SetDigest(d.timers.Now(), g)
-	if room := g.Limit - g.Running; room > 0 {
-		d.wake(u, g.Models, room)
+	if free := g.Limit - g.Running; free > 0 {
+		d.wakeQueued(u, g.Models, free)
 	}
 }
 
-// upstreamLost is told that the process at an address may have ended. A new one
-// there is cold, and the next report is up to half a second away.
-func (d *Daemon) upstreamLost(addr netip.AddrPort) {
+// upstreamConnLost handles a lost connection: the process at the address may have
+// ended. A new one there is cold, and up to half a second passes until the next
+// load report.
+func (d *Daemon) upstreamConnLost(addr netip.AddrPort) {
 	for id, u := range d.config.Snapshot().Upstreams {
 		if u.Addr == addr {
 			d.table.MarkPossibleRestart(id)
@@ -98,19 +101,20 @@
 	}
 }
 
-// room is told that an upstream may have room for one more request.
-func (d *Daemon) room(id bramleytack.UpstreamID) {
+// capacityFreed wakes a queued request when an upstream may have a free slot.
+func (d *Daemon) capacityFreed(id bramleytack.UpstreamID) {
 	u, ok := d.snapshots.Snapshot().Upstreams[id]
 	if !ok {
 		return
 	}
 	g, _ := d.loads.Digest(id)
-	d.wake(u, g.Models, 1)
+	d.wakeQueued(u, g.Models, 1)
 }
 
-// wake lets requests that wait for an upstream's models or service try again.
-func (d *Daemon) wake(u *bramleytack.Upstream, held []bramleytack.LoadedModel, n int) {
-	for _, m := range held {
+// wakeQueued lets up to n queued requests of each of the upstream's models, and of
+// its service, try again.
+func (d *Daemon) wakeQueued(u *bramleytack.Upstream, models []bramleytack.LoadedModel, n int) {
+	for _, m := range models {
 		d.queue.Wake(m.Model, n)
 	}
 	if u.Service != "" {
@@ -118,7 +122,7 @@
 	}
 }
 
-func (d *Daemon) probeFailed(u *bramleytack.Upstream, failed bool, err error) {
+func (d *Daemon) upstreamHealthChanged(u *bramleytack.Upstream, failed bool, err error) {
 	if failed {
 		d.log.Event(btevent.UpstreamFailed).Str("upstream", string(u.ID)).Err(err).Send()
 		return
@@ -126,11 +130,11 @@
 	d.log.Event(btevent.UpstreamStarted).Str("upstream", string(u.ID)).Send()
 }
 
-func (d *Daemon) crashed(u bramleytack.UpstreamID, i bramleytack.InstanceID, fps []bramleytack.Fingerprint) {
+func (d *Daemon) upstreamCrashed(u bramleytack.UpstreamID, i bramleytack.InstanceID, fps []bramleytack.Fingerprint) {
 	d.log.Event(btevent.RequestSuspected).Str("upstream", string(u)).Str("instance", string(i)).Int("requests", len(fps)).Send()
 }
 
-func (d *Daemon) unrecorded(key btclaim.ClaimKey, id bramleytack.RequestID, err error) {
+func (d *Daemon) claimNotStored(key btclaim.ClaimKey, id bramleytack.RequestID, err error) {
 	d.log.Event(btevent.ClaimNotStored).Str("workspace", string(key.Workspace)).Str("service", key.Service).
 		Str("request", string(id)).Err(err).Send()
 }
--- a/btdaemon/placement.go
+++ b/btdaemon/placement.go
@@ -9,9 +9,9 @@
 	"bramleytack/btupstream"
 )
 
-// buildPlacement makes the controller that acts while this daemon holds the
-// lease of its cell. It reads the engines itself, since digests have neither an
-// engine's role nor the age of its figures.
+// buildPlacement creates the placement controller, which acts while this daemon
+// holds the lease of its cell. It reads the engines' load reports itself, since
+// digests contain neither an engine's role nor the age of its values.
 func (d *Daemon) buildPlacement() {
 	d.placement = &btplace.Controller{
 		Cell:         d.settings.Cell,
@@ -22,20 +22,20 @@
 		Upstreams:    d.pool,
 		InCell:       func(u *bramleytack.Upstream) bool { return u.In(d.settings.Cell) },
 		IsStaleFence: func(err error) bool { return errors.Is(err, btupstream.ErrStaleFence) },
-		Notify:       d.ordered,
+		Notify:       d.commandEnded,
 	}
 }
 
-var orderEvents = map[btplace.EventKind]btevent.Event{
+var commandEvents = map[btplace.EventKind]btevent.Event{
 	btplace.Sent:   btevent.CommandSent,
 	btplace.Failed: btevent.CommandFailed,
 	btplace.Fenced: btevent.CommandFenced,
 }
 
-// ordered logs the end of an order.
-func (d *Daemon) ordered(e btplace.Event) {
-	o := e.Command
-	d.log.Event(orderEvents[e.Kind]).Str("upstream", string(e.Upstream)).Uint64("fence", uint64(o.Fence)).
-		Str("kind", string(o.Kind)).Str("model", o.Model).Str("version", o.Version).Str("adapter", o.Adapter).
-		Str("role", o.Role).AnErr("error", e.Err).Send()
+// commandEnded logs the result of a command.
+func (d *Daemon) commandEnded(e btplace.Event) {
+	cmd := e.Command
+	d.log.Event(commandEvents[e.Kind]).Str("upstream", string(e.Upstream)).Uint64("fence", uint64(cmd.Fence)).
+		Str("kind", string(cmd.Kind)).Str("model", cmd.Model).Str("version", cmd.Version).Str("adapter", cmd.Adapter).
+		Str("role", cmd.Role).AnErr("error", e.Err).Send()
 }
--- a/btdaemon/serve.go
+++ b/btdaemon/serve.go
@@ -19,10 +19,10 @@
 	"bramleytack/btremote"
 )
 
-// adminHeaderTimeout bounds the receipt of a header on the admin address.
+// adminHeaderTimeout limits reading a request header on the admin address.
 const adminHeaderTimeout = 5 * time.Second
 
-// listeners are the open addresses of a daemon.
+// listeners are the open sockets of a daemon.
 type listeners struct {
 	callers net.Listener
 	admin   net.Listener
@@ -86,7 +86,7 @@
 	return mux
 }
 
-// readyz says whether callers should be sent here.
+// readyz answers 204 if the daemon can serve new callers, otherwise 503.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
 	if !d.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -95,13 +95,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Ready says whether the daemon can serve new callers.
+// Ready reports whether the daemon can serve new callers.
 func (d *Daemon) Ready() bool {
-	return d.keyed.Load() && d.loaded.Load() && !d.draining.Load() && d.cluster.cell.View() != nil && !d.isolated()
+	return d.keysLoaded.Load() && d.configLoaded.Load() && !d.draining.Load() && d.cluster.cell.View() != nil && !d.isolated()
 }
 
-// Status is the answer to the operators' status call: the states of all members
-// of the cell, as this daemon knows them.
+// Status is the response to the operators' status request: this daemon's own state
+// and, in Daemons, the last known states of the members of its cell. Queued and
+// Held count requests and reservations.
 type Status struct {
 	Host     bramleytack.HostID `json:"host"`
 	Cell     bramleytack.CellID `json:"cell"`
@@ -134,8 +135,8 @@
 	return s
 }
 
-// register adds the parts to the state dump and the metrics.
-func (d *Daemon) register() {
+// registerDiagnostics adds the parts to the state dump and the metrics.
+func (d *Daemon) registerDiagnostics() {
 	d.dumps.Add("status", func() any { return d.ownStatus() })
 	d.dumps.Add("config", func() any { return d.config.Stats() })
 	d.dumps.Add("watch", func() any { return d.watcher.Stats() })
@@ -151,11 +152,12 @@
 	d.metrics.Gauge("config_revision", "Revision of the configuration in force.", func() float64 { return float64(d.config.Digest().Revision) })
 	d.metrics.Counter("store_reads_total", "Reads of the platform's store.", func() float64 { return float64(d.store.Counts().Reads) })
 	d.metrics.Counter("store_writes_total", "Writes to the platform's store.", func() float64 { return float64(d.store.Counts().Writes) })
-	d.registerTraffic()
+	d.registerTrafficMetrics()
 }
 
-// registerTraffic adds the counters of the peer links and the sizes of states.
-func (d *Daemon) registerTraffic() {
+// registerTrafficMetrics adds the metrics of the peer links, the configuration,
+// the owned upstreams and the store watches.
+func (d *Daemon) registerTrafficMetrics() {
 	traffic := func(value func(c btpeer.MessageCount) (sent, received uint64)) func() []btmetric.Sample {
 		return func() []btmetric.Sample {
 			var list []btmetric.Sample
