--- a/btcert/authority.go
+++ b/btcert/authority.go
@@ -16,33 +16,35 @@
 )
 
 const (
-	// serialBits is the size of a random serial number, as RFC 5280 allows.
+	// serialBits stays below the 20 octets that RFC 5280 allows for a serial number.
 	serialBits = 127
-	// backdate covers the difference between the clocks of hosts.
+	// backdate lets a host whose clock is behind accept a new certificate.
 	backdate = 5 * time.Minute
 
-	typeCertificate = "CERTIFICATE"
-	typeKey         = "EC PRIVATE KEY"
+	pemTypeCertificate = "CERTIFICATE"
+	pemTypeKey         = "EC PRIVATE KEY"
 )
 
-// Pair is a certificate with its key in PEM.
+// Pair is a certificate and its private key, each as one PEM block.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// Authority signs the certificates of hosts.
+// Authority signs the certificates of hosts. Its methods are safe for concurrent
+// use. The zero value is not usable.
 type Authority struct {
-	// Pair is the authority's own certificate and key.
+	// Pair is the authority's self-signed certificate and its key.
 	Pair Pair
 
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority returns a new authority.
+// NewAuthority generates a key and a self-signed certificate that is valid until
+// now+validFor. The name becomes part of the certificate's common name.
 func NewAuthority(name string, now time.Time, validFor time.Duration) (*Authority, error) {
-	key, serial, err := newKey()
+	key, serial, err := newKeyAndSerial()
 	if err != nil {
 		return nil, err
 	}
@@ -58,41 +60,43 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "btcert: authority")
+		return nil, errors.Wrap(err, "btcert: create the authority's certificate")
 	}
-	pair, err := encode(der, key)
+	pair, err := encodePair(der, key)
 	if err != nil {
 		return nil, err
 	}
 	return ParseAuthority(pair)
 }
 
-// ParseAuthority reads an authority.
+// ParseAuthority decodes an authority from its PEM blocks. It returns an error if
+// the certificate is not a CA certificate or the key does not belong to it.
 func ParseAuthority(p Pair) (*Authority, error) {
 	block, _ := pem.Decode(p.Certificate)
-	if block == nil || block.Type != typeCertificate {
-		return nil, errors.New("btcert: authority has no certificate in PEM")
+	if block == nil || block.Type != pemTypeCertificate {
+		return nil, errors.New("btcert: the authority's certificate is not a PEM block of type CERTIFICATE")
 	}
 	certificate, err := x509.ParseCertificate(block.Bytes)
 	if err != nil {
-		return nil, errors.Wrap(err, "btcert: authority's certificate")
+		return nil, errors.Wrap(err, "btcert: parse the authority's certificate")
 	}
-	if block, _ = pem.Decode(p.Key); block == nil || block.Type != typeKey {
-		return nil, errors.New("btcert: authority has no key in PEM")
+	if block, _ = pem.Decode(p.Key); block == nil || block.Type != pemTypeKey {
+		return nil, errors.New("btcert: the authority's key is not a PEM block of type EC PRIVATE KEY")
 	}
 	key, err := x509.ParseECPrivateKey(block.Bytes)
 	if err != nil {
-		return nil, errors.Wrap(err, "btcert: authority's key")
+		return nil, errors.Wrap(err, "btcert: parse the authority's key")
 	}
 	if !certificate.IsCA || !key.PublicKey.Equal(certificate.PublicKey) {
-		return nil, errors.New("btcert: certificate and key are not those of an authority")
+		return nil, errors.New("btcert: the authority's certificate is not a CA certificate or does not match the key")
 	}
 	return &Authority{Pair: p, certificate: certificate, key: key}, nil
 }
 
-// Issue returns a certificate for a host.
+// Issue returns a new key and a certificate for it with the host id as its DNS
+// name. The certificate is valid until now+validFor.
 func (a *Authority) Issue(host bramleytack.HostID, now time.Time, validFor time.Duration) (Pair, error) {
-	key, serial, err := newKey()
+	key, serial, err := newKeyAndSerial()
 	if err != nil {
 		return Pair{}, err
 	}
@@ -107,27 +111,27 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &key.PublicKey, a.key)
 	if err != nil {
-		return Pair{}, errors.Wrapf(err, "btcert: certificate of %s", host)
+		return Pair{}, errors.Wrapf(err, "btcert: create the certificate of host %s", host)
 	}
-	return encode(der, key)
+	return encodePair(der, key)
 }
 
-func newKey() (*ecdsa.PrivateKey, *big.Int, error) {
+func newKeyAndSerial() (*ecdsa.PrivateKey, *big.Int, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "btcert: key")
+		return nil, nil, errors.Wrap(err, "btcert: generate a key")
 	}
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
-	return key, serial, errors.Wrap(err, "btcert: serial number")
+	return key, serial, errors.Wrap(err, "btcert: generate a serial number")
 }
 
-func encode(der []byte, key *ecdsa.PrivateKey) (Pair, error) {
+func encodePair(der []byte, key *ecdsa.PrivateKey) (Pair, error) {
 	b, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "btcert: key")
+		return Pair{}, errors.Wrap(err, "btcert: encode the key")
 	}
 	return Pair{
-		Certificate: pem.EncodeToMemory(&pem.Block{Type: typeCertificate, Bytes: der}),
-		Key:         pem.EncodeToMemory(&pem.Block{Type: typeKey, Bytes: b}),
+		Certificate: pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: der}),
+		Key:         pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: b}),
 	}, nil
 }
--- a/btcert/authority_test.go
+++ b/btcert/authority_test.go
@@ -12,16 +12,16 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Guards against certificates that a peer refuses, or accepts for another host,
-// another authority or too long.
+// Guards against certificates that fail verification at a peer, or that pass it
+// for another host, with another authority or after they expire.
 func TestIssue(t *testing.T) {
 	a, err := NewAuthority("a", now, 100*time.Hour)
 	assert.NilError(t, err)
-	again, err := ParseAuthority(a.Pair)
+	parsed, err := ParseAuthority(a.Pair)
 	assert.NilError(t, err)
 	other, err := NewAuthority("b", now, 100*time.Hour)
 	assert.NilError(t, err)
-	pair, err := again.Issue("h-1", now, time.Hour)
+	pair, err := parsed.Issue("h-1", now, time.Hour)
 	assert.NilError(t, err)
 	_, err = tls.X509KeyPair(pair.Certificate, pair.Key)
 	assert.NilError(t, err)
@@ -46,16 +46,17 @@
 	}
 }
 
-// Guards against an authority whose files belong to two different ones.
+// Guards against loading an authority from mixed or swapped files, or from the
+// files of a host.
 func TestParseAuthority(t *testing.T) {
 	a, err := NewAuthority("a", now, time.Hour)
 	assert.NilError(t, err)
 	b, err := NewAuthority("b", now, time.Hour)
 	assert.NilError(t, err)
-	host, err := a.Issue("h", now, time.Hour)
+	hostPair, err := a.Issue("h", now, time.Hour)
 	assert.NilError(t, err)
 	for name, p := range map[string]Pair{
-		"mixed pair": {a.Pair.Certificate, b.Pair.Key}, "host": host, "swapped": {a.Pair.Key, a.Pair.Certificate}, "empty": {},
+		"mixed pair": {a.Pair.Certificate, b.Pair.Key}, "host": hostPair, "swapped": {a.Pair.Key, a.Pair.Certificate}, "empty": {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseAuthority(p)
--- a/btcert/doc.go
+++ b/btcert/doc.go
@@ -1,9 +1,9 @@
-// Package btcert issues the certificates of the links between daemons.
+// Package btcert issues the TLS certificates that daemons use among themselves.
 //
-// A deployment has one authority. Each host has a certificate that names the
-// host id and is valid for servers and clients, since each daemon is both.
-// Deployments with an authority of their own do not need this package: any
-// certificate with the host id as its DNS name serves.
+// A deployment has one certificate authority. The certificate of a host has the
+// host id as its only DNS name and is valid for servers and clients, since each
+// daemon is both. A deployment can use its own authority instead of this package
+// if its certificates have these properties.
 //
 // # Usage
 //
