--- a/cmd/bramleytackd/doc.go
+++ b/cmd/bramleytackd/doc.go
@@ -1,11 +1,11 @@
-// Command bramleytackd runs one daemon of the system.
+// Command bramleytackd runs one daemon.
 //
 // # Usage
 //
 //	bramleytackd --config FILE [flags]
 //	bramleytackd check --config FILE [flags]
 //
-// "check" reads the settings, reports all findings and starts nothing. The exit
-// status is 0 on success, 1 on a failure at run time and 2 on bad settings or
-// usage.
+// "check" validates the settings, reports every error in them and exits without
+// starting the daemon. The exit status is 0 on success, 1 on a failure at run time
+// and 2 on invalid settings or usage.
 package main
--- a/cmd/bramleytackd/main.go
+++ b/cmd/bramleytackd/main.go
@@ -15,7 +15,7 @@
 	"bramleytack/btsettings"
 )
 
-// The exit statuses.
+// Exit statuses, which doc.go describes.
 const (
 	exitOK = iota
 	exitFailed
@@ -45,7 +45,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// A second signal ends the process at once.
+	// Restores the default handling after the first signal, so that a second one
+	// ends the process at once.
 	context.AfterFunc(ctx, stop)
 	d, err := btdaemon.New(s, btevent.New(os.Stderr, level, s.Host))
 	if err == nil {
--- a/examples/doc.go
+++ b/examples/doc.go
@@ -1,4 +1,5 @@
-// Package examples holds example configurations of both deployments.
+// Package examples holds the settings and records of two example deployments,
+// foldwell and karamanlis. The records are given in both schema versions.
 //
 // # Usage
 //
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -12,8 +12,8 @@
 	"bramleytack/btsettings"
 )
 
-// Guards against examples that do not pass the checks, that miss the sizes of
-// the design, and against schema versions that describe different deployments.
+// Guards against examples that fail validation, that lack the expected number of
+// records, or whose two schema versions describe different deployments.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"foldwell", "karamanlis"} {
 		t.Run(name, func(t *testing.T) {
@@ -22,8 +22,8 @@
 			assert.Equal(t, len(old), len(current))
 			for key, r := range old {
 				want, ok := current[key]
-				assert.Assert(t, ok, "%v is missing in version 2", key)
-				// A conversion leaves default values out, so both sides are converted.
+				assert.Assert(t, ok, "%v is missing in schema version 2", key)
+				// Conversion omits default values, so both sides are converted.
 				converted, err := btrecord.Convert(r, btrecord.NewestSchema)
 				assert.NilError(t, err)
 				back, err := btrecord.Convert(converted, btrecord.OldestSchema)
@@ -35,12 +35,12 @@
 			s, err := btsettings.Load([]string{"--config", filepath.Join(name, "daemon.yaml")}, os.ReadFile)
 			assert.NilError(t, err)
 			_, known := current[bramleytack.Key{Kind: btrecord.KindFailureDomain, Name: string(s.FailureDomain)}]
-			assert.Assert(t, known, "failure domain %s", s.FailureDomain)
+			assert.Assert(t, known, "daemon.yaml names failure domain %s, which has no record", s.FailureDomain)
 		})
 	}
 }
 
-// records returns the records of one schema version, without any finding.
+// records loads the records of one schema version. Any finding fails the test.
 func records(t *testing.T, name string, schema int) map[bramleytack.Key]btrecord.Record {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(name, "records", "v"+string(rune('0'+schema)), "*.yaml"))
@@ -70,7 +70,7 @@
 		kind := key.Kind
 		if kind == btrecord.KindUpstream {
 			u, _ := btrecord.Upstreams.Value(r)
-			assert.Assert(t, u.Addr.Addr().IsLoopback(), "%s", u.Addr)
+			assert.Assert(t, u.Addr.Addr().IsLoopback(), "upstream address %s is not a loopback address", u.Addr)
 			kind = string(u.Kind)
 		}
 		if kind == btrecord.KindWorkspace {
@@ -84,8 +84,8 @@
 	for kind, n := range map[string]int{
 		btrecord.KindFailureDomain: 3, btrecord.KindWorkspace: 10, btrecord.KindModel: 1, "engine": 12, "large": 3,
 	} {
-		assert.Equal(t, count[kind], n, "%s", kind)
+		assert.Equal(t, count[kind], n, "number of records of kind %s", kind)
 	}
-	// The service's record and its three workers.
+	// The service's record and its three upstreams have the same kind.
 	assert.Equal(t, count[btrecord.KindService], 4)
 }
