--- a/btsettings/settings.go
+++ b/btsettings/settings.go
@@ -7,13 +7,14 @@
 	"bramleytack"
 )
 
-// Settings are the settings of one daemon.
+// Settings configure one daemon. They do not change while it runs.
 type Settings struct {
 	Host          bramleytack.HostID
 	Region        bramleytack.RegionID
 	FailureDomain bramleytack.FailureDomainID
 	Cell          bramleytack.CellID
-	// Listen serves callers, AdminListen operators, PeerListen other daemons.
+	// Listen is the address for callers, AdminListen for operators and PeerListen
+	// for other daemons.
 	Listen      netip.AddrPort
 	AdminListen netip.AddrPort
 	PeerListen  netip.AddrPort
@@ -23,32 +24,36 @@
 	// OperatorKeyHashes are SHA-256 hashes of operator keys in hexadecimal.
 	OperatorKeyHashes []string
 	Limits            Limits
-	// EntriesValidFor is how long callers may keep the entry list.
+	// EntriesValidFor is how long callers may cache the entry list.
 	EntriesValidFor time.Duration
-	// DrainTimeout bounds a graceful shutdown.
+	// DrainTimeout bounds the wait for running requests at shutdown. It starts
+	// after the wait for cached entry lists to expire.
 	DrainTimeout time.Duration
-	// ClaimInterval is the least time between two commits of a claim shard. A
-	// longer one saves writes of the store and adds to the wait of keyed calls.
+	// ClaimInterval is the minimum time between two commits of a claim shard. A
+	// longer interval saves writes to the store, but delays requests with an
+	// idempotency key.
 	ClaimInterval time.Duration
 	LogLevel      string
 }
 
-// PeerTLS names the files of the mutual TLS between daemons.
+// PeerTLS names the files for mutual TLS between daemons.
 type PeerTLS struct {
 	Certificate string
 	Key         string
 	Authority   string
-	// Plain turns TLS off. It is meant for tests on one machine.
+	// Plain disables TLS, for tests on one machine. The files must not be set
+	// then; otherwise all three are required.
 	Plain bool
 }
 
 // Limits bound what callers may send.
 type Limits struct {
-	// MaxBody is in bytes.
+	// MaxBody is the maximum size of a request's body in bytes.
 	MaxBody int64
-	// MaxHeader is in bytes.
+	// MaxHeader is the maximum size of a request's header in bytes.
 	MaxHeader int
-	// MaxTimeout is the longest deadline of a request.
+	// MaxTimeout is the longest time from the arrival of a request to its
+	// deadline. A later deadline is shortened to it.
 	MaxTimeout time.Duration
 	// MaxQueued is the number of requests that may wait for capacity.
 	MaxQueued int
@@ -56,7 +61,8 @@
 	MaxQueueTime time.Duration
 }
 
-// Defaults returns the settings that hold where no source names a value.
+// Defaults returns the values of the settings that no source sets. Required
+// settings are zero.
 func Defaults() Settings {
 	return Settings{
 		Limits: Limits{
