--- a/btsettings/load.go
+++ b/btsettings/load.go
@@ -1,7 +1,7 @@
 package btsettings
 
 import (
-	stdflag "flag"
+	"flag"
 	"io"
 	"strings"
 	"unicode"
@@ -12,53 +12,58 @@
 	"bramleytack"
 )
 
-// envPrefix is the prefix of environment variables.
+// envPrefix precedes the names of environment variables, joined by an
+// underscore: peerTLS.key is read from BRAMLEYTACK_PEER_TLS_KEY.
 const envPrefix = "BRAMLEYTACK"
 
-// ErrNoFile says that no settings file was named.
-var ErrNoFile = errors.New("btsettings: --config is required")
+// ErrNoConfig is returned by Load if neither --config nor BRAMLEYTACK_CONFIG names
+// a settings file.
+var ErrNoConfig = errors.New("btsettings: --config is required")
 
 // Load reads settings from the file that --config names, the environment and
-// the flags in args. Faults are returned as bramleytack.Findings.
+// the flags in args. Invalid settings are returned as bramleytack.Findings,
+// unknown flags and an unreadable file as other errors.
 func Load(args []string, readFile func(string) ([]byte, error)) (Settings, error) {
 	s := Defaults()
 	table := fields(&s)
-	fs := stdflag.NewFlagSet("bramleytackd", stdflag.ContinueOnError)
+	fs := flag.NewFlagSet("bramleytackd", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	config := fs.String("config", "", "settings file")
 	for _, f := range table {
 		fs.String(flagName(f.path), "", f.allowed)
 	}
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(envPrefix)); err != nil {
-		return s, errors.Wrap(err, "btsettings: flags")
+		return s, errors.Wrap(err, "btsettings: parse flags")
 	}
 	if *config == "" {
-		return s, ErrNoFile
+		return s, ErrNoConfig
 	}
 	data, err := readFile(*config)
 	if err != nil {
-		return s, errors.Wrap(err, "btsettings: read")
+		return s, errors.Wrap(err, "btsettings: read settings file")
 	}
-	seen, found := readYAML(*config, data, table)
-	found = append(found, override(fs, table, seen)...)
+	seen, findings := readYAML(*config, data, table)
+	findings = append(findings, override(fs, table, seen)...)
 	for _, f := range table {
 		if f.required && !seen[f.path] {
-			found = append(found, bramleytack.Finding{File: *config, Path: f.path, Message: "is missing", Allowed: f.allowed})
+			findings = append(findings, bramleytack.Finding{File: *config, Path: f.path, Message: "is missing", Allowed: f.allowed})
 		}
 	}
-	if len(found) == 0 {
-		found = s.check(*config)
+	if len(findings) == 0 {
+		findings = s.check(*config)
 	}
-	return s, found.Err()
+	return s, findings.Err()
 }
 
-// override applies the flags and environment variables that were set.
-func override(fs *stdflag.FlagSet, table []field, seen map[string]bool) bramleytack.Findings {
-	var found bramleytack.Findings
-	set := map[string]string{}
-	fs.Visit(func(f *stdflag.Flag) { set[f.Name] = f.Value.String() })
+// override applies the flags and environment variables that were set and adds
+// their paths to seen. The flag set does not record which of the two set a
+// value, so a finding always names the flag.
+func override(fs *flag.FlagSet, table []field, seen map[string]bool) bramleytack.Findings {
+	var findings bramleytack.Findings
+	given := map[string]string{}
+	fs.Visit(func(f *flag.Flag) { given[f.Name] = f.Value.String() })
 	for _, f := range table {
-		v, ok := set[flagName(f.path)]
+		v, ok := given[flagName(f.path)]
 		if !ok {
 			continue
 		}
@@ -68,32 +73,33 @@
 			values = strings.Split(v, ",")
 		}
 		if err := f.set(values); err != nil {
-			found = append(found, bramleytack.Finding{
+			findings = append(findings, bramleytack.Finding{
 				File: "--" + flagName(f.path), Path: f.path, Message: err.Error(), Allowed: f.allowed,
 			})
 		}
 	}
-	return found
+	return findings
 }
 
-// flagName returns the flag of a field: peerTLS.key becomes peer-tls-key.
+// flagName converts a path to a flag name: peerTLS.key becomes peer-tls-key. A
+// run of capitals counts as one word.
 func flagName(path string) string {
 	var b strings.Builder
-	lower := false
+	afterLower := false
 	for _, r := range path {
 		switch {
 		case r == '.':
 			b.WriteByte('-')
-			lower = false
+			afterLower = false
 		case unicode.IsUpper(r):
-			if lower {
+			if afterLower {
 				b.WriteByte('-')
 			}
 			b.WriteRune(unicode.ToLower(r))
-			lower = false
+			afterLower = false
 		default:
 			b.WriteRune(r)
-			lower = true
+			afterLower = true
 		}
 	}
 	return b.String()
--- a/btsettings/yaml.go
+++ b/btsettings/yaml.go
@@ -11,65 +11,70 @@
 	"bramleytack"
 )
 
-// reader collects the fields and the faults of one file.
-type reader struct {
-	file  string
-	table map[string]field
-	seen  map[string]bool
-	found bramleytack.Findings
+// yamlReader sets the fields that one file contains.
+type yamlReader struct {
+	file     string
+	table    map[string]field // by path
+	seen     map[string]bool  // paths that the file sets
+	findings bramleytack.Findings
 }
 
-// readYAML sets the fields that a file holds. It returns the paths that the
-// file names and all faults.
+// readYAML sets the fields that data contains. It returns the paths of these
+// fields, also of those with an invalid value, and the findings. The file name
+// is used only for findings.
 func readYAML(file string, data []byte, table []field) (map[string]bool, bramleytack.Findings) {
-	r := &reader{file: file, table: map[string]field{}, seen: map[string]bool{}}
+	r := &yamlReader{file: file, table: map[string]field{}, seen: map[string]bool{}}
 	for _, f := range table {
 		r.table[f.path] = f
 	}
 	doc, err := parser.ParseBytes(data, 0)
 	if err != nil {
-		r.addSyntax(err)
-		return r.seen, r.found
+		r.addSyntaxError(err)
+		return r.seen, r.findings
 	}
 	if len(doc.Docs) > 1 {
-		r.add(doc.Docs[1].Body, "", "file must hold one document", "")
+		r.addFinding(doc.Docs[1].Body, "", "file must contain only one document", "")
 	}
 	if len(doc.Docs) > 0 && doc.Docs[0].Body != nil {
-		r.mapping("", doc.Docs[0].Body)
+		r.readMapping("", doc.Docs[0].Body)
 	}
-	return r.seen, r.found
+	return r.seen, r.findings
 }
 
-func (r *reader) mapping(prefix string, node ast.Node) {
+// readMapping reads the fields of a mapping. The prefix is empty or the path of
+// the mapping with a final dot.
+func (r *yamlReader) readMapping(prefix string, node ast.Node) {
 	m, ok := node.(ast.MapNode)
 	if !ok {
-		r.add(node, strings.TrimSuffix(prefix, "."), "must be a mapping", "")
+		r.addFinding(node, strings.TrimSuffix(prefix, "."), "must be a mapping", "")
 		return
 	}
 	for it := m.MapRange(); it.Next(); {
-		r.entry(prefix+it.Key().String(), it.Key(), it.Value())
+		r.readField(prefix+it.Key().String(), it.Key(), it.Value())
 	}
 }
 
-func (r *reader) entry(path string, key, value ast.Node) {
+// readField sets the field at path, or reads the fields below it.
+func (r *yamlReader) readField(path string, key, value ast.Node) {
 	f, ok := r.table[path]
 	switch {
 	case ok && r.seen[path]:
-		r.add(key, path, "is set twice", "")
+		r.addFinding(key, path, "is set twice", "")
 	case ok:
 		r.seen[path] = true
 		if err := f.set(scalars(value)); err != nil {
-			r.add(value, path, err.Error(), f.allowed)
+			r.addFinding(value, path, err.Error(), f.allowed)
 		}
 	case r.isGroup(path):
-		r.mapping(path+".", value)
+		r.readMapping(path+".", value)
 	default:
-		r.add(key, path, "is no known field", "")
+		r.addFinding(key, path, "is not a known field", "")
 	}
 }
 
-// isGroup says whether a path is the start of a field's path.
-func (r *reader) isGroup(path string) bool {
+// isGroup reports whether path is a mapping that contains known fields, such as
+// limits.
+func (r *yamlReader) isGroup(path string) bool {
 	for p := range r.table {
 		if strings.HasPrefix(p, path+".") {
 			return true
@@ -78,7 +83,8 @@
 	return false
 }
 
-// scalars returns the values of a scalar or of a sequence of scalars.
+// scalars returns the values of a scalar or of a sequence of scalars, and none
+// for any other node.
 func scalars(node ast.Node) []string {
 	switch n := node.(type) {
 	case *ast.StringNode:
@@ -96,20 +102,21 @@
 	}
 }
 
-func (r *reader) add(node ast.Node, path, message, allowed string) {
+// addFinding adds a finding at the line of node, or without a line if node is nil.
+func (r *yamlReader) addFinding(node ast.Node, path, message, allowed string) {
 	line := 0
 	if node != nil && node.GetToken() != nil {
 		line = node.GetToken().Position.Line
 	}
-	r.found = append(r.found, bramleytack.Finding{File: r.file, Line: line, Path: path, Message: message, Allowed: allowed})
+	r.findings = append(r.findings, bramleytack.Finding{File: r.file, Line: line, Path: path, Message: message, Allowed: allowed})
 }
 
-func (r *reader) addSyntax(err error) {
-	f := bramleytack.Finding{File: r.file, Message: "is no valid YAML"}
+func (r *yamlReader) addSyntaxError(err error) {
+	finding := bramleytack.Finding{File: r.file, Message: "is not valid YAML"}
 	var syntax *yaml.SyntaxError
 	if errors.As(err, &syntax) {
-		f.Line = syntax.Token.Position.Line
-		f.Message = syntax.Message
+		finding.Line = syntax.Token.Position.Line
+		finding.Message = syntax.Message
 	}
-	r.found = append(r.found, f)
+	r.findings = append(r.findings, finding)
 }
